--- a/crates/ivyweir-caller/src/reply.rs
+++ b/crates/ivyweir-caller/src/reply.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 
 use chunked_transfer::Encoder;
-use ivyweir_policy::{Refusal, Run};
+use ivyweir_policy::{Execution, Refusal};
 use serde_json::json;
 
 /// One header line.
@@ -85,8 +85,8 @@
         _ => "api_error",
     };
     let run = match refusal.run {
-        Run::NotRun => "not_run",
-        Run::Unknown => "unknown",
+        Execution::NotRun => "not_run",
+        Execution::Unknown => "unknown",
     };
     json!({
         "error": {
--- a/crates/ivyweir-caller/src/serve.rs
+++ b/crates/ivyweir-caller/src/serve.rs
@@ -124,7 +124,7 @@
             // One thread always stays free to say so.
             let refusal =
                 Refusal::not_run(Code::Overloaded, "this box is at its limit of requests");
-            let _caller_gone = incoming.reply(Reply::from(&refusal.retry_after(BUSY_HINT_MS)));
+            let _caller_gone = incoming.reply(Reply::from(&refusal.with_retry_after(BUSY_HINT_MS)));
         } else {
             if is_last {
                 let _at_limit_of_system = Self::spawn(self);
--- a/crates/ivyweir-gateway/src/drive.rs
+++ b/crates/ivyweir-gateway/src/drive.rs
@@ -5,7 +5,7 @@
 
 use hyper::StatusCode;
 use ivyweir_policy::gateway::rollout::{RolloutDuty, RolloutOrder, RolloutState};
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 use serde_json::json;
 use tokio::time::sleep;
 
--- a/crates/ivyweir-gateway/src/headers.rs
+++ b/crates/ivyweir-gateway/src/headers.rs
@@ -6,7 +6,7 @@
 use hyper::header::{self, HeaderName, HeaderValue};
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::statement::{NamedLimit, ReportedLoad, RetryAfter, Source, Statement};
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 
 use crate::dialect::{AnswerMarks, Dialect, Envelope, Forward, PromptPart};
 
--- a/crates/ivyweir-gateway/src/job.rs
+++ b/crates/ivyweir-gateway/src/job.rs
@@ -13,7 +13,7 @@
 use ivyweir_policy::gateway::rollout::Side;
 use ivyweir_policy::gateway::site::{Route, Workspace};
 use ivyweir_policy::gateway::work::{self, Estimate, Tokens};
-use ivyweir_policy::rank::{hash64, mix};
+use ivyweir_policy::hash::{hash64, mix};
 
 use crate::dialect::{Dialect, Envelope, Forward, PromptPart};
 use crate::settings::Settings;
--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -21,7 +21,7 @@
 use ivyweir_policy::gateway::owners::Owners;
 use ivyweir_policy::gateway::verdict::Tally;
 use ivyweir_policy::gateway::word::{OthersWords, Repeats, Word, Work, add_repeats, add_work};
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 use tokio::sync::watch;
 
 use crate::clock::Clock;
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -29,7 +29,7 @@
 use ivyweir_policy::gateway::statement::Source;
 use ivyweir_policy::gateway::upstreams::Upstreams;
 use ivyweir_policy::gateway::word::{Running, Word};
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 use serde_json::json;
 use tokio::sync::{Notify, watch};
 
--- a/crates/ivyweir-gateway/src/state/quarantine.rs
+++ b/crates/ivyweir-gateway/src/state/quarantine.rs
@@ -11,7 +11,7 @@
     UpstreamEnd, Verdicts, Witness,
 };
 use ivyweir_policy::gateway::rollout::RolloutState;
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 use serde_json::json;
 use tokio::sync::watch;
 use tokio::time::timeout;
--- a/crates/ivyweir-policy/src/balance.rs
+++ b/crates/ivyweir-policy/src/balance.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::rank::mix;
+use crate::hash::mix;
 use crate::{BoxState, Name};
 
 pub use crate::upstream::{Report, Upstream, VersionSet};
--- a/crates/ivyweir-policy/src/carry.rs
+++ b/crates/ivyweir-policy/src/carry.rs
@@ -78,7 +78,10 @@
 
 fn create_event(out: &mut Outcome, name: &Name, start_ms: u64, workspaces: &[Name]) -> Result<()> {
     if out.config.events.contains_key(name) {
-        return Err(Error::new(ErrorKind::Exists, format!("event {name}")));
+        return Err(Error::new(
+            ErrorKind::AlreadyExists,
+            format!("event {name}"),
+        ));
     }
     for workspace in workspaces {
         require_workspace(&out.config, workspace)?;
@@ -103,7 +106,10 @@
             ..Model::default()
         });
     if model.versions.contains_key(&at.version) {
-        return Err(Error::new(ErrorKind::Exists, format!("version {at}")));
+        return Err(Error::new(
+            ErrorKind::AlreadyExists,
+            format!("version {at}"),
+        ));
     }
     let version = Version {
         cost_micro_per_ktoken: cost,
--- a/crates/ivyweir-policy/src/claim.rs
+++ b/crates/ivyweir-policy/src/claim.rs
@@ -160,7 +160,7 @@
 
 /// The shard of a key.
 pub fn shard(workspace: &str, key: &str) -> u64 {
-    crate::rank::hash64(&[b"claim", workspace.as_bytes(), key.as_bytes()]) % SHARDS
+    crate::hash::hash64(&[b"claim", workspace.as_bytes(), key.as_bytes()]) % SHARDS
 }
 
 /// One claim: whoever holds it may run the key, once.
--- a/crates/ivyweir-policy/src/error.rs
+++ b/crates/ivyweir-policy/src/error.rs
@@ -1,36 +1,36 @@
-//! The error of this package.
+//! The error type of this crate.
 
 use std::fmt;
 
-/// A decision that could not be taken, with the place that prevented it.
+/// An error with its kind and the object it concerns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
     kind: ErrorKind,
     detail: String,
 }
 
-/// What went wrong, for callers that act on it.
+/// Category of an [`Error`], for callers that handle categories differently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// A named thing is not in the configuration.
+    /// The named object is not in the configuration.
     NotFound,
-    /// A named thing is there already.
-    Exists,
-    /// A value is outside what is allowed.
+    /// An object of that name exists already.
+    AlreadyExists,
+    /// A value is out of range or cannot be parsed.
     Invalid,
     /// A signature or digest does not match.
-    Forged,
-    /// What the plan rests on has changed since it was drawn.
-    Moved,
-    /// The token's time is over.
+    BadSignature,
+    /// The configuration that the plan depends on has changed since the plan was created.
+    Conflict,
+    /// The token has expired.
     Expired,
 }
 
-/// The result of a decision.
+/// Alias for a result with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// Makes an error of a kind; `detail` says where, in lower case.
+    /// Creates an error. `detail` names the object concerned, in lower case.
     #[cold]
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         Self {
@@ -39,7 +39,6 @@
         }
     }
 
-    /// The kind of this error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
@@ -49,10 +48,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kind = match self.kind {
             ErrorKind::NotFound => "not found",
-            ErrorKind::Exists => "exists already",
+            ErrorKind::AlreadyExists => "already exists",
             ErrorKind::Invalid => "invalid",
-            ErrorKind::Forged => "forged",
-            ErrorKind::Moved => "changed since the plan was drawn",
+            ErrorKind::BadSignature => "forged",
+            ErrorKind::Conflict => "changed since the plan was created",
             ErrorKind::Expired => "expired",
         };
         write!(f, "{}: {kind}", self.detail)
--- a/crates/ivyweir-policy/src/gateway/fleet.rs
+++ b/crates/ivyweir-policy/src/gateway/fleet.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use crate::rank::hash64;
+use crate::hash::hash64;
 use index::PoolIndex;
 
 /// Ids of upstreams that left which are remembered; an id is never used again.
--- a/crates/ivyweir-policy/src/gateway/fleet/index.rs
+++ b/crates/ivyweir-policy/src/gateway/fleet/index.rs
@@ -4,7 +4,7 @@
 use std::ops::Bound;
 
 use crate::Name;
-use crate::rank::mix;
+use crate::hash::mix;
 
 /// Upstreams of a home at most, on average.
 const HOME: usize = 64;
--- a/crates/ivyweir-policy/src/gateway/hall.rs
+++ b/crates/ivyweir-policy/src/gateway/hall.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use crate::rank::hash64;
+use crate::hash::hash64;
 
 /// Halls whose relays may be the root. Few, as each that tries a store that is out is paid for, and
 /// more than one, as the store may turn single boxes away.
--- a/crates/ivyweir-policy/src/gateway/owners.rs
+++ b/crates/ivyweir-policy/src/gateway/owners.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use crate::rank::mix;
+use crate::hash::mix;
 
 /// Time since its start in which a box owns nothing: it has forgotten what it sent, and boxes that start together
 /// have yet to hear of each other.
--- a/crates/ivyweir-policy/src/gateway/place.rs
+++ b/crates/ivyweir-policy/src/gateway/place.rs
@@ -8,7 +8,7 @@
 
 use crate::gateway::fleet::UpstreamRecord;
 use crate::gateway::work::Estimate;
-use crate::rank::mix;
+use crate::hash::mix;
 
 /// First pause after a failed connection; doubles with each further one.
 const SHUN_FIRST_MS: u64 = 400;
--- a/crates/ivyweir-policy/src/gateway/quarantine/fingerprint.rs
+++ b/crates/ivyweir-policy/src/gateway/quarantine/fingerprint.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::rank::hash64;
+use crate::hash::hash64;
 
 /// What makes a request the same as an earlier one. Its id, its deadline and what a caller says of the prompt
 /// differ from try to try; the host, the path, the caller and the body do not.
--- a/crates/ivyweir-policy/src/gateway/rollout.rs
+++ b/crates/ivyweir-policy/src/gateway/rollout.rs
@@ -12,7 +12,7 @@
 use crate::Name;
 use crate::gateway::revision::Revision;
 use crate::gateway::verdict::{Evidence, Findings, Tally};
-use crate::rank::mix;
+use crate::hash::mix;
 
 /// A step of a roll-out: from which part of its time on, and which share the new version gets.
 #[derive(Debug, Clone, Copy)]
--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -23,7 +23,7 @@
 use crate::gateway::place::UpstreamLoad;
 use crate::gateway::rollout::{RolloutState, Side};
 use crate::gateway::word::Work;
-use crate::rank::hash64;
+use crate::hash::hash64;
 
 pub use heard::Heard;
 
--- a/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
@@ -5,7 +5,7 @@
 use crate::gateway::fleet::FleetChange;
 use crate::gateway::limit::{LimitChange, ToldLimit};
 use crate::gateway::statement::{NamedLimit, RetryAfter, Statement};
-use crate::rank::mix;
+use crate::hash::mix;
 
 /// Limits that are told at once; the latest go first, and an upstream that gets requests names its own again and again.
 const LIMITS_TOLD: usize = 128;
--- a/crates/ivyweir-policy/src/gateway/upstreams/versions.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/versions.rs
@@ -7,7 +7,7 @@
 use crate::Name;
 use crate::gateway::fleet::UpstreamRecord;
 use crate::gateway::rollout::{RolloutState, Side};
-use crate::rank::hash64;
+use crate::hash::hash64;
 
 impl Upstreams {
     /// Upstreams of the versions that may serve, whether they were tried or not.
--- a/crates/ivyweir-policy/src/lib.rs
+++ b/crates/ivyweir-policy/src/lib.rs
@@ -21,13 +21,12 @@
 pub mod claim;
 mod error;
 pub mod gateway;
-pub mod guard;
+pub mod hash;
 mod intent;
 pub mod ledger;
 pub mod member;
 mod plan;
 pub mod quality;
-pub mod rank;
 pub mod refusal;
 pub mod retry;
 pub mod rollout;
@@ -35,11 +34,12 @@
 pub mod token;
 mod upstream;
 mod value;
+pub mod version_health;
 
 pub use error::{Error, ErrorKind, Result};
 pub use intent::{Intent, describe};
 pub use plan::{APPLIED_PLANS_KEPT, AUDIT_KEPT, Change, Plan, split_audit};
-pub use refusal::{Code, Refusal, Run};
+pub use refusal::{Code, Execution, Refusal};
 pub use value::{
     AuditEntry, BoxEntry, BoxKind, BoxList, BoxState, Config, Event, Guard, Model, Name, Operator,
     Pool, PoolKind, Role, Rollout, RolloutState, SessionKey, Version, VersionRef, VersionState,
--- a/crates/ivyweir-policy/src/member.rs
+++ b/crates/ivyweir-policy/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::rank::{hash64, mix};
+use crate::hash::{hash64, mix};
 use crate::{BoxKind, BoxList, BoxState, Name};
 
 /// Times that decide over life and death of a member, in milliseconds.
--- a/crates/ivyweir-policy/src/plan.rs
+++ b/crates/ivyweir-policy/src/plan.rs
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::NotFound`], [`ErrorKind::Exists`] or [`ErrorKind::Invalid`] when the intent
+    /// [`ErrorKind::NotFound`], [`ErrorKind::AlreadyExists`] or [`ErrorKind::Invalid`] when the intent
     /// does not fit the configuration.
     pub fn draw(config: &Config, intent: Intent, fleet_key: &[u8]) -> Result<Self> {
         let outcome = carry_out(config, &intent)?;
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Forged`].
+    /// [`ErrorKind::BadSignature`].
     pub fn verify(&self, fleet_key: &[u8]) -> Result<()> {
         let mut unsigned = self.clone();
         unsigned.signature = "".into();
@@ -80,7 +80,10 @@
         if matches {
             Ok(())
         } else {
-            Err(Error::new(ErrorKind::Forged, format!("plan {}", self.id)))
+            Err(Error::new(
+                ErrorKind::BadSignature,
+                format!("plan {}", self.id),
+            ))
         }
     }
 
@@ -93,10 +96,10 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Moved`] when what the plan rests on has changed since it was drawn.
+    /// [`ErrorKind::Conflict`] when what the plan rests on has changed since it was drawn.
     pub fn apply(&self, config: &Config, operator: &str, now_ms: u64) -> Result<Config> {
         if footprint(config, &self.intent) != self.footprint {
-            return Err(Error::new(ErrorKind::Moved, format!("plan {}", self.id)));
+            return Err(Error::new(ErrorKind::Conflict, format!("plan {}", self.id)));
         }
         let outcome = carry_out(config, &self.intent)?;
         let mut next = outcome.config;
--- a/crates/ivyweir-policy/src/retry.rs
+++ b/crates/ivyweir-policy/src/retry.rs
@@ -1,19 +1,19 @@
-//! Retry budgets and spread-out hints when to come back.
+//! Retry budgets and jittered retry-after delays.
 
-use crate::rank::mix;
+use crate::hash::mix;
 
-/// Share of requests that may be retried, in thousandths.
+/// Credit added per first attempt, in thousandths of a retry: 100 allows one retry per ten requests.
 const DEPOSIT_PERMILLE: u32 = 100;
 const RETRY_COST_PERMILLE: u32 = 1_000;
 const MAX_BALANCE_PERMILLE: u32 = 20_000;
 
-/// Allows one retry for every ten requests, with a small reserve.
+/// Limits retries to one per ten requests, plus a reserve of at most 20 retries.
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct RetryBudget {
     balance_permille: u32,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self {
             balance_permille: MAX_BALANCE_PERMILLE,
@@ -21,18 +21,18 @@
     }
 }
 
-impl Budget {
-    /// Counts a first try.
+impl RetryBudget {
+    /// Credits the budget for a first attempt.
     pub fn deposit(&mut self) {
         self.balance_permille =
             (self.balance_permille + DEPOSIT_PERMILLE).min(MAX_BALANCE_PERMILLE);
     }
 
-    /// Takes one retry out of the budget, if there is one.
-    pub fn withdraw(&mut self) -> bool {
+    /// Takes one retry from the budget. Returns `false` if the budget is exhausted.
+    pub fn try_withdraw(&mut self) -> bool {
         match self.balance_permille.checked_sub(RETRY_COST_PERMILLE) {
-            Some(rest) => {
-                self.balance_permille = rest;
+            Some(remaining) => {
+                self.balance_permille = remaining;
                 true
             }
             None => false,
@@ -40,12 +40,12 @@
     }
 }
 
-/// When to come back: around `base_ms`, spread from half of it to one and a half times.
+/// Returns a retry delay, spread uniformly from half of `base_ms` to one and a half times.
 ///
-/// `seed` differs between requests, so that callers refused together do not return together.
-pub fn hint_ms(base_ms: u64, seed: u64) -> u64 {
-    let base_ms = base_ms.max(MIN_HINT_MS);
+/// `seed` must differ between requests, so that callers refused together do not retry together.
+pub fn jittered_retry_after_ms(base_ms: u64, seed: u64) -> u64 {
+    let base_ms = base_ms.max(MIN_RETRY_AFTER_MS);
     base_ms / 2 + mix(seed, base_ms) % base_ms
 }
 
-const MIN_HINT_MS: u64 = 100;
+const MIN_RETRY_AFTER_MS: u64 = 100;
--- a/crates/ivyweir-policy/src/rollout.rs
+++ b/crates/ivyweir-policy/src/rollout.rs
@@ -1,6 +1,6 @@
 //! Roll-outs: which version a new session gets, and when the next step is due.
 
-use crate::rank::hash64;
+use crate::hash::hash64;
 use crate::{Config, Intent, Name, Rollout, RolloutState, VersionRef};
 
 /// The id of the roll-out of `model` in `workspace`; there is one at a time.
--- a/crates/ivyweir-policy/src/token.rs
+++ b/crates/ivyweir-policy/src/token.rs
@@ -40,13 +40,13 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Invalid`] for text that is no token, [`ErrorKind::Forged`] for a wrong
+    /// [`ErrorKind::Invalid`] for text that is no token, [`ErrorKind::BadSignature`] for a wrong
     /// signature, unknown key or another workspace, [`ErrorKind::Expired`].
     pub fn open(text: &str, keys: &[SessionKey], workspace: &str, now_ms: u64) -> Result<Self> {
         let session = Self::open_unscoped(text, keys)?;
         if session.workspace.as_ref() != workspace {
             return Err(Error::new(
-                ErrorKind::Forged,
+                ErrorKind::BadSignature,
                 "session of another workspace",
             ));
         }
@@ -64,7 +64,7 @@
         let (body_hex, mac_hex) = text.split_once('.').ok_or_else(invalid)?;
         let body = from_hex(body_hex).ok_or_else(invalid)?;
         let session: Self = serde_json::from_slice(&body).map_err(|_| invalid())?;
-        let forged = || Error::new(ErrorKind::Forged, "session token");
+        let forged = || Error::new(ErrorKind::BadSignature, "session token");
         let key = keys
             .iter()
             .find(|k| k.id == session.key_id)
--- a/crates/ivyweir-policy/src/upstream.rs
+++ b/crates/ivyweir-policy/src/upstream.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::balance::Want;
-use crate::rank::hash64;
+use crate::hash::hash64;
 use crate::{BoxState, Name};
 
 /// Time out after one failure; long enough to send the next calls elsewhere.
--- a/crates/ivyweir-policy/tests/common/mod.rs
+++ b/crates/ivyweir-policy/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use ivyweir_policy::gateway::hall::BoxRecord;
 use ivyweir_policy::gateway::joined::{Joined, SeedLists};
 use ivyweir_policy::gateway::owners::{Owners, Sharing, may_own};
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 use proptest::prelude::*;
 
 const SEEDS: usize = 3;
--- a/crates/ivyweir-policy/tests/gateway_cold.rs
+++ b/crates/ivyweir-policy/tests/gateway_cold.rs
@@ -5,7 +5,7 @@
 
 use ivyweir_policy::gateway::cold::{ColdStart, RecentSends};
 use ivyweir_policy::gateway::owners::{Owners, may_own};
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 use proptest::prelude::*;
 
 use common::{Event, STEP_MS, SimFleet, Trouble, hash, troubles};
--- a/crates/ivyweir-policy/tests/gateway_decisions.rs
+++ b/crates/ivyweir-policy/tests/gateway_decisions.rs
@@ -105,7 +105,7 @@
 
 /// A record at an address of its own.
 fn record(id: &str, hall: &str) -> UpstreamRecord {
-    let port = 1 + (ivyweir_policy::rank::hash64(&[id.as_bytes()]) % 60_000) as u16;
+    let port = 1 + (ivyweir_policy::hash::hash64(&[id.as_bytes()]) % 60_000) as u16;
     UpstreamRecord {
         id: id.into(),
         pool: "p".into(),
@@ -395,7 +395,7 @@
         .collect();
     let mut next = std::collections::HashMap::<usize, usize>::new();
     for request in 0..43 {
-        let apart = Some(ivyweir_policy::rank::hash64(&[&[request]]));
+        let apart = Some(ivyweir_policy::hash::hash64(&[&[request]]));
         let ask = Ask {
             apart,
             ..ask(None, Some(LONG), 0)
--- a/crates/ivyweir-policy/tests/gateway_large_pools.rs
+++ b/crates/ivyweir-policy/tests/gateway_large_pools.rs
@@ -10,7 +10,7 @@
 use ivyweir_policy::gateway::place::Ask;
 use ivyweir_policy::gateway::upstreams::{Choice, Scope, SendRules, Unplaced, Upstreams};
 use ivyweir_policy::gateway::work::Estimate;
-use ivyweir_policy::rank::{hash64, mix};
+use ivyweir_policy::hash::{hash64, mix};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/ivyweir-policy/tests/gateway_rollout_load.rs
+++ b/crates/ivyweir-policy/tests/gateway_rollout_load.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::gateway::place::Ask;
 use ivyweir_policy::gateway::rollout::{RolloutState, Side};
 use ivyweir_policy::gateway::upstreams::{Scope, SendRules, Target, Upstreams};
-use ivyweir_policy::rank::mix;
+use ivyweir_policy::hash::mix;
 
 /// Upstreams of two versions, 20 of the old and 20 of the new one.
 fn two_versions() -> Upstreams {
--- a/crates/ivyweir-policy/tests/gateway_statements.rs
+++ b/crates/ivyweir-policy/tests/gateway_statements.rs
@@ -9,7 +9,7 @@
 use ivyweir_policy::gateway::statement::{RetryAfter, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{Scope, SendRules, Unplaced, Upstreams, Withheld};
 use ivyweir_policy::gateway::wait::{Held, Queue, come_back_ms};
-use ivyweir_policy::rank::mix;
+use ivyweir_policy::hash::mix;
 
 /// The most for which an upstream is left alone in these tests.
 const MAX_BACKOFF_MS: u64 = 60_000;
--- a/crates/ivyweir-policy/tests/keys.rs
+++ b/crates/ivyweir-policy/tests/keys.rs
@@ -56,11 +56,11 @@
 tokens! {
     its_own: same, [key("k1")], "studio", 999 => Ok("n".to_owned());
     after_a_rotation: same, [key("k1"), key("k2")], "studio", 1 => Ok("n".to_owned());
-    after_its_key_is_dropped: same, [key("k2")], "studio", 1 => Err(ErrorKind::Forged);
-    of_another_workspace: same, [key("k1")], "network", 1 => Err(ErrorKind::Forged);
+    after_its_key_is_dropped: same, [key("k2")], "studio", 1 => Err(ErrorKind::BadSignature);
+    of_another_workspace: same, [key("k1")], "network", 1 => Err(ErrorKind::BadSignature);
     too_late: same, [key("k1")], "studio", 1_000 => Err(ErrorKind::Expired);
-    with_another_mac: last_changed, [key("k1")], "studio", 1 => Err(ErrorKind::Forged);
-    with_another_body: body_changed, [key("k1")], "studio", 1 => Err(ErrorKind::Forged);
+    with_another_mac: last_changed, [key("k1")], "studio", 1 => Err(ErrorKind::BadSignature);
+    with_another_body: body_changed, [key("k1")], "studio", 1 => Err(ErrorKind::BadSignature);
     of_nothing: |_: &str| String::new(), [key("k1")], "studio", 1 => Err(ErrorKind::Invalid);
     too_long: |t: &str| t.repeat(100), [key("k1")], "studio", 1 => Err(ErrorKind::Invalid);
 }
@@ -113,7 +113,7 @@
             .collect();
         let whole = Bill::join([Segment { records: records.clone() }]);
         let mut mixed = records.clone();
-        mixed.sort_by_key(|r| ivyweir_policy::rank::mix(seed, r.at_ms * 100 + r.cost_micro()));
+        mixed.sort_by_key(|r| ivyweir_policy::hash::mix(seed, r.at_ms * 100 + r.cost_micro()));
         let mut segments: Vec<Segment> = Vec::new();
         for cut in cuts {
             let (front, _) = mixed.split_at(cut.min(mixed.len()));
--- a/crates/ivyweir-policy/tests/load.rs
+++ b/crates/ivyweir-policy/tests/load.rs
@@ -5,11 +5,11 @@
 use ivyweir_policy::admit::{Denied, Limits, Queue, Ticket};
 use ivyweir_policy::balance::{Balancer, Policy, Report, Shortage, Upstream, Want};
 use ivyweir_policy::choose::{Candidate, Choice, Needs, choose};
-use ivyweir_policy::guard::Detector;
+use ivyweir_policy::hash::{hash64, mix};
 use ivyweir_policy::member::{Health, Record, Table, Timing};
 use ivyweir_policy::quality::{BUCKETS, Count};
-use ivyweir_policy::rank::{hash64, mix};
-use ivyweir_policy::retry::{Budget, hint_ms};
+use ivyweir_policy::retry::{RetryBudget, jittered_retry_after_ms};
+use ivyweir_policy::version_health::ChangeDetector;
 use ivyweir_policy::{BoxState, Name};
 
 fn balancer(policy: Policy, slots: &[u32]) -> Balancer {
@@ -279,7 +279,7 @@
 
 /// Answers until the detector gives the alarm, when `bad_permille` of them are bad.
 fn alarm_after(bad_permille: u64, seed: u64, most: u64) -> Option<u64> {
-    let mut detector = Detector::default();
+    let mut detector = ChangeDetector::default();
     (0..most).find(|n| {
         let is_bad = mix(seed, *n) % 1_000 < bad_permille;
         detector.observe(is_bad) && detector.is_bad()
@@ -308,12 +308,12 @@
 fn a_version_of_middling_quality_is_not_taken_for_broken() {
     for (expected, bad_permille) in [(0.85, 170), (0.7, 330), (0.55, 500)] {
         let alarms = (0..100).filter(|&seed| {
-            let mut detector = Detector::for_ratings(expected);
+            let mut detector = ChangeDetector::for_ratings(expected);
             (0..1_000).any(|n| detector.observe(mix(seed, n) % 1_000 < bad_permille))
         });
         let alarms = alarms.count();
         assert!(alarms <= 10, "{alarms} in 100 000 ratings at {expected}");
-        let mut broken = Detector::for_ratings(expected);
+        let mut broken = ChangeDetector::for_ratings(expected);
         let noticed = (0..200).find(|n| broken.observe(mix(3, *n) % 1_000 < 950));
         assert!(noticed.is_some_and(|n| n < 40), "{noticed:?} at {expected}");
     }
@@ -321,7 +321,7 @@
 
 #[test]
 fn a_verdict_is_lifted_by_good_answers() {
-    let mut detector = Detector::default();
+    let mut detector = ChangeDetector::default();
     (0..10).for_each(|_| {
         detector.observe(true);
     });
@@ -435,14 +435,16 @@
 
 #[test]
 fn retries_are_a_tenth_of_requests_and_hints_are_spread() {
-    let mut budget = Budget::default();
-    while budget.withdraw() {}
+    let mut budget = RetryBudget::default();
+    while budget.try_withdraw() {}
     let retries = (0..1_000).filter(|_| {
         budget.deposit();
-        budget.withdraw()
+        budget.try_withdraw()
     });
     assert_eq!(retries.count(), 100);
-    let mut hints: Vec<u64> = (0..1_000).map(|seed| hint_ms(1_000, seed)).collect();
+    let mut hints: Vec<u64> = (0..1_000)
+        .map(|seed| jittered_retry_after_ms(1_000, seed))
+        .collect();
     hints.sort_unstable();
     assert!(hints[0] < 550 && hints[999] > 1_450 && (950..1_050).contains(&hints[500]));
 }
--- a/crates/ivyweir-policy/tests/plans.rs
+++ b/crates/ivyweir-policy/tests/plans.rs
@@ -72,7 +72,7 @@
             let plan = Plan::draw(&config, $planned, KEY).expect("the intent fits");
             let moved_on = apply(&config, $meanwhile);
             let outcome = plan.apply(&moved_on, "ben", 9);
-            let moved = outcome.as_ref().is_err_and(|e| e.kind() == ErrorKind::Moved);
+            let moved = outcome.as_ref().is_err_and(|e| e.kind() == ErrorKind::Conflict);
             assert_eq!(moved, $moved, "{outcome:?}");
             if let Ok(next) = outcome {
                 assert_eq!(next.generation, moved_on.generation + 1);
@@ -103,7 +103,7 @@
 unfit! {
     an_unknown_version: Intent::Withdraw { at: at("m@v9") } => NotFound;
     an_unknown_model: Intent::Withdraw { at: at("n@v1") } => NotFound;
-    a_version_twice: add("m@v1") => Exists;
+    a_version_twice: add("m@v1") => AlreadyExists;
     a_share_over_all: roll(1_001) => Invalid;
     an_unknown_rollout: Intent::Halt { rollout: "x.n".into(), reason: "r".into() } => NotFound;
     an_event_of_nobody: Intent::CreateEvent {
@@ -120,7 +120,7 @@
     for (plan, key) in [(&altered, KEY), (&plan, b"another key".as_slice())] {
         assert_eq!(
             plan.verify(key).map_err(|e| e.kind()),
-            Err(ErrorKind::Forged)
+            Err(ErrorKind::BadSignature)
         );
     }
 }
--- a/crates/ivyweir-standins/src/scheduler.rs
+++ b/crates/ivyweir-standins/src/scheduler.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam::channel::{Receiver, Sender, unbounded};
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 
 /// Characters per block of the prefix cache.
 const BLOCK_CHARS: usize = 64;
--- a/crates/ivyweir-standins/src/text.rs
+++ b/crates/ivyweir-standins/src/text.rs
@@ -3,7 +3,7 @@
 //! Quality is hidden in the first word, mixed with the prompt, so that only somebody who knows this
 //! module can read it; the router does not.
 
-use ivyweir_policy::rank::{hash64, mix};
+use ivyweir_policy::hash::{hash64, mix};
 
 /// The last word of every whole answer.
 pub const END: &str = "end.";
--- a/crates/ivyweird/src/config.rs
+++ b/crates/ivyweird/src/config.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, RwLock};
 
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 use ivyweir_policy::{BoxList, Config};
 
 use crate::shards::lock;
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -198,7 +198,7 @@
                 let text =
                     "the claim could not be written; use a session to go on without the store";
                 let refusal = Refusal::not_run(Code::ClaimUnavailable, text);
-                Err(refusal.retry_after(CLAIM_HINT_MS))
+                Err(refusal.with_retry_after(CLAIM_HINT_MS))
             }
         }
     }
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -57,7 +57,7 @@
 fn is_standby(node: &Node) -> bool {
     let serving = node.serving();
     let names: Vec<&str> = serving.iter().map(|m| m.name.as_ref()).collect();
-    let top = ivyweir_policy::rank::top("duties", names, STANDBYS);
+    let top = ivyweir_policy::hash::rendezvous_top("duties", names, STANDBYS);
     top.contains(&node.me.box_name.as_ref())
 }
 
--- a/crates/ivyweird/src/gate.rs
+++ b/crates/ivyweird/src/gate.rs
@@ -7,7 +7,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 use ivyweir_policy::admit::{Denied, Limits, Pace, Queue, Ticket};
 use ivyweir_policy::balance::{Balancer, Report, Shortage, Upstream, Want};
-use ivyweir_policy::retry::{Budget, hint_ms};
+use ivyweir_policy::retry::{RetryBudget, jittered_retry_after_ms};
 use ivyweir_policy::{BoxKind, BoxList, Code, Name, Refusal};
 
 use crate::settings::Settings;
@@ -25,7 +25,7 @@
     lanes: HashMap<Name, Lane>,
     waiters: HashMap<u64, Waiter>,
     next_id: u64,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 struct Lane {
@@ -133,7 +133,7 @@
                 lanes: HashMap::new(),
                 waiters: HashMap::new(),
                 next_id: 0,
-                budget: Budget::default(),
+                budget: RetryBudget::default(),
             }),
             limits: Limits {
                 total: settings.limits.max_queued,
@@ -298,7 +298,7 @@
 
     /// Whether the budget has a retry left; takes it.
     pub fn may_retry(&self) -> bool {
-        lock(&self.inner).budget.withdraw()
+        lock(&self.inner).budget.try_withdraw()
     }
 }
 
@@ -366,14 +366,15 @@
         Code::UpstreamFailed
     };
     Refusal::not_run(code, format!("no other upstream offers {what}"))
-        .retry_after(hint_ms(NO_UPSTREAM_HINT_MS, seed))
+        .with_retry_after(jittered_retry_after_ms(NO_UPSTREAM_HINT_MS, seed))
 }
 
 const NO_UPSTREAM_HINT_MS: u64 = 2_000;
 
 #[cold]
 fn overloaded(text: &str, wait_ms: u64, seed: u64) -> Refusal {
-    Refusal::not_run(Code::Overloaded, text).retry_after(hint_ms(wait_ms.max(MIN_BUSY_MS), seed))
+    Refusal::not_run(Code::Overloaded, text)
+        .with_retry_after(jittered_retry_after_ms(wait_ms.max(MIN_BUSY_MS), seed))
 }
 
 const MIN_BUSY_MS: u64 = 500;
@@ -384,5 +385,5 @@
         Code::DeadlineUnmet,
         format!("the wait would be {wait_ms} ms"),
     )
-    .retry_after(hint_ms(wait_ms, seed))
+    .with_retry_after(jittered_retry_after_ms(wait_ms, seed))
 }
--- a/crates/ivyweird/src/learn.rs
+++ b/crates/ivyweird/src/learn.rs
@@ -5,8 +5,8 @@
 
 use ivyweir_policy::balance::VersionSet;
 use ivyweir_policy::claim::Incarnation;
-use ivyweir_policy::guard::{self, Detector};
 use ivyweir_policy::quality::{BUCKETS, Book, Count, Counter, Subject};
+use ivyweir_policy::version_health::{self, ChangeDetector};
 use ivyweir_policy::{Name, VersionRef};
 
 use crate::shards::lock;
@@ -61,8 +61,8 @@
 #[derive(Default)]
 struct Watch {
     /// By version: whole answers, and ratings, each against what is normal for them.
-    answers: HashMap<Name, Detector>,
-    ratings: HashMap<Name, Detector>,
+    answers: HashMap<Name, ChangeDetector>,
+    ratings: HashMap<Name, ChangeDetector>,
     own_seq: u64,
     verdicts: HashMap<(Name, Name), Held>,
     /// Upstreams whose last call failed; another failure says nothing more about a version.
@@ -152,12 +152,12 @@
         let subject = subject(&seen.at, &seen.class, seen.bucket, epoch_ms);
         lock(&self.book).row(subject, &self.me).rate(score);
         let version: Name = seen.at.to_string().into();
-        let is_bad = guard::is_bad_rating(score, expected);
+        let is_bad = version_health::is_bad_rating(score, expected);
         let mut watch = lock(&self.watch);
         let before = watch.is_bad(&version);
         let detector = watch.ratings.entry(version.clone());
         detector
-            .or_insert_with(|| Detector::for_ratings(expected))
+            .or_insert_with(|| ChangeDetector::for_ratings(expected))
             .observe(is_bad);
         watch.judge(&self.me, version, before)
     }
@@ -196,7 +196,7 @@
             .filter(|h| h.verdict.bad && h.verdict.version.as_ref() == version)
             .filter(|h| h.verdict.by != self.me && now_ms < h.heard_ms + VERDICT_MS)
             .count();
-        guard::is_bad(own, others)
+        version_health::is_bad(own, others)
     }
 
     /// All verdicts known and not void.
@@ -293,7 +293,7 @@
     /// Whether one of this box's detectors holds the version to be bad.
     fn is_bad(&self, version: &str) -> bool {
         let detectors = [self.answers.get(version), self.ratings.get(version)];
-        detectors.into_iter().flatten().any(Detector::is_bad)
+        detectors.into_iter().flatten().any(ChangeDetector::is_bad)
     }
 
     /// Notes this box's verdict if it is another than `before`. Returns whether it is.
--- a/crates/ivyweird/src/ledger.rs
+++ b/crates/ivyweird/src/ledger.rs
@@ -65,7 +65,7 @@
             return Ok(());
         }
         let refusal = Refusal::not_run(Code::BillingUnavailable, "no room for billing records");
-        Err(refusal.retry_after(ROOM_HINT_MS))
+        Err(refusal.with_retry_after(ROOM_HINT_MS))
     }
 
     /// Adds a record and waits until it is in the store or on another box.
--- a/crates/ivyweird/src/loads.rs
+++ b/crates/ivyweird/src/loads.rs
@@ -4,7 +4,7 @@
 
 use crossbeam::channel::{Receiver, Sender, bounded};
 use ivyweir_policy::balance::{Report, Upstream, VersionSet};
-use ivyweir_policy::{BoxState, Name, rank};
+use ivyweir_policy::{BoxState, Name, hash};
 
 use crate::gate::Moment;
 use crate::node::Node;
@@ -67,7 +67,7 @@
 }
 
 fn hash_name(name: &str) -> u64 {
-    rank::hash64(&[name.as_bytes()])
+    hash::hash64(&[name.as_bytes()])
 }
 
 /// Time between two reports of one upstream, for as many upstreams as there are.
@@ -80,7 +80,7 @@
 ///
 /// With 350 boxes and 1,000 upstreams this runs often, so names are hashed once a round.
 fn is_mine(me: u64, serving: &[u64], upstream: &Upstream) -> bool {
-    let score = |of: u64| rank::mix(upstream.id(), of);
+    let score = |of: u64| hash::mix(upstream.id(), of);
     let own = score(me);
     let before = serving.iter().filter(|other| score(**other) > own);
     before.take(ASKERS).count() < ASKERS
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -216,7 +216,9 @@
     pub fn enter(&self) -> Result<InProgress<'_>, Refusal> {
         let entered = self.enter_forwarded()?;
         if self.is_draining() {
-            return Err(Refusal::not_run(Code::Draining, "this box is stopping").retry_after(0));
+            return Err(
+                Refusal::not_run(Code::Draining, "this box is stopping").with_retry_after(0)
+            );
         }
         Ok(entered)
     }
@@ -231,7 +233,7 @@
         let entered = InProgress { node: self };
         if self.config.generation() == 0 || !self.sight().admits() {
             let text = "this box cannot show that its configuration is current";
-            return Err(Refusal::not_run(Code::StaleConfig, text).retry_after(STALE_HINT_MS));
+            return Err(Refusal::not_run(Code::StaleConfig, text).with_retry_after(STALE_HINT_MS));
         }
         Ok(entered)
     }
--- a/crates/ivyweird/src/once.rs
+++ b/crates/ivyweird/src/once.rs
@@ -7,7 +7,7 @@
 use ivyweir_peer::pb;
 use ivyweir_platform::{ErrorKind, Expect, PutOutcome};
 use ivyweir_policy::claim::{self, Authority, Begin, Claim, Incarnation, Journal, Verdict};
-use ivyweir_policy::{Code, Name, Refusal, rank};
+use ivyweir_policy::{Code, Name, Refusal, hash};
 
 use crate::clock::Clock;
 use crate::node::Node;
@@ -195,7 +195,7 @@
     let shard = claim::shard(workspace, key);
     let serving = node.serving();
     let names: Vec<&str> = serving.iter().map(|r| r.name.as_ref()).collect();
-    let owner = rank::top(&format!("claim/{shard}"), names, 1)
+    let owner = hash::rendezvous_top(&format!("claim/{shard}"), names, 1)
         .first()
         .copied();
     let remote = serving
--- a/crates/ivyweird/src/operator_api.rs
+++ b/crates/ivyweird/src/operator_api.rs
@@ -50,8 +50,8 @@
     fn from(error: ivyweir_policy::Error) -> Self {
         let status = match error.kind() {
             ErrorKind::NotFound => 404,
-            ErrorKind::Exists | ErrorKind::Moved => 409,
-            ErrorKind::Forged => 403,
+            ErrorKind::AlreadyExists | ErrorKind::Conflict => 409,
+            ErrorKind::BadSignature => 403,
             ErrorKind::Invalid | ErrorKind::Expired => 400,
         };
         Self::new(status, error.to_string())
--- a/crates/ivyweird/src/replica.rs
+++ b/crates/ivyweird/src/replica.rs
@@ -6,9 +6,9 @@
 use crossbeam::channel::RecvTimeoutError;
 use ivyweir_peer::pb;
 use ivyweir_policy::claim::Incarnation;
+use ivyweir_policy::hash;
 use ivyweir_policy::ledger::Record;
 use ivyweir_policy::member::{Health, Record as Member};
-use ivyweir_policy::rank;
 
 use crate::ledger::Waiting;
 use crate::node::Node;
@@ -94,7 +94,7 @@
     let among = if outside.is_empty() { others } else { outside };
     let names = among.iter().map(|m| m.name.as_ref());
     let key = format!("replica/{}", node.me.box_name);
-    let first = rank::top(&key, names.collect::<Vec<&str>>(), 1)
+    let first = hash::rendezvous_top(&key, names.collect::<Vec<&str>>(), 1)
         .first()
         .copied()?;
     among
--- a/crates/ivyweird/src/route.rs
+++ b/crates/ivyweird/src/route.rs
@@ -2,8 +2,8 @@
 
 use ivyweir_caller::ChatRequest;
 use ivyweir_policy::choose::{self, Candidate, Choice, Needs};
-use ivyweir_policy::guard;
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
+use ivyweir_policy::version_health;
 use ivyweir_policy::{Code, Config, Name, Refusal, VersionRef, VersionState, rollout};
 
 use crate::context::Context;
@@ -183,7 +183,7 @@
 /// Refuses where only bad versions are left, but for a few that find out whether they still are.
 fn check_not_bad(context: &Context<'_>, candidates: &[Candidate]) -> Result<(), Refusal> {
     let all_bad = candidates.iter().all(|c| c.bad);
-    if !all_bad || guard::may_probe(draw_permille()) {
+    if !all_bad || version_health::may_probe(draw_permille()) {
         return Ok(());
     }
     let names: Vec<String> = candidates.iter().map(|c| c.at.to_string()).collect();
@@ -192,8 +192,8 @@
         names.join(", ")
     );
     let seed = hash64(&[context.key.as_bytes()]);
-    let hint_ms = ivyweir_policy::retry::hint_ms(SUSPENDED_HINT_MS, seed);
-    Err(Refusal::not_run(Code::VersionSuspended, text).retry_after(hint_ms))
+    let hint_ms = ivyweir_policy::retry::jittered_retry_after_ms(SUSPENDED_HINT_MS, seed);
+    Err(Refusal::not_run(Code::VersionSuspended, text).with_retry_after(hint_ms))
 }
 
 const SUSPENDED_HINT_MS: u64 = 5_000;
--- a/crates/ivyweird/src/shards.rs
+++ b/crates/ivyweird/src/shards.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, MutexGuard};
 
-use ivyweir_policy::rank::hash64;
+use ivyweir_policy::hash::hash64;
 
 const COUNT: usize = 16;
 
--- a/crates/ivyweird/src/spread.rs
+++ b/crates/ivyweird/src/spread.rs
@@ -5,7 +5,7 @@
 use ivyweir_peer::{BOX_LIST_DOCUMENT, CONFIG_DOCUMENT, pb};
 use ivyweir_platform::{Expect, Object, PutOutcome, Watched};
 use ivyweir_policy::member::Health;
-use ivyweir_policy::{BoxState, Config, Operator, Role, SessionKey, rank};
+use ivyweir_policy::{BoxState, Config, Operator, Role, SessionKey, hash};
 
 use crate::clock::Clock;
 use crate::config::Adoption;
@@ -36,7 +36,7 @@
         .map(|m| m.name.as_ref())
         .collect();
     let key = format!("watch/{}", node.settings.hall);
-    let top = rank::top(&key, in_hall, WATCHERS_PER_HALL);
+    let top = hash::rendezvous_top(&key, in_hall, WATCHERS_PER_HALL);
     node.config.generation() == 0 || top.contains(&node.me.box_name.as_ref())
 }
 
--- a/crates/ivyweird/src/stop.rs
+++ b/crates/ivyweird/src/stop.rs
@@ -4,7 +4,7 @@
 
 use ivyweir_peer::pb;
 use ivyweir_policy::claim::Incarnation;
-use ivyweir_policy::rank;
+use ivyweir_policy::hash;
 
 use crate::node::Node;
 use crate::segments;
@@ -61,7 +61,7 @@
         .map(|m| m.name.as_ref())
         .collect();
     let key = format!("successor/{}", node.me.box_name);
-    let first = rank::top(&key, others, 1).first().copied()?;
+    let first = hash::rendezvous_top(&key, others, 1).first().copied()?;
     let record = serving.iter().find(|m| m.name.as_ref() == first)?;
     Some(Incarnation {
         box_name: record.name.clone(),
