--- a/crates/ivyweir-policy/src/lib.rs
+++ b/crates/ivyweir-policy/src/lib.rs
@@ -14,10 +14,9 @@
 //! assert_eq!(next.audit.len(), 1);
 //! ```
 
-pub mod admit;
+pub mod admission;
 pub mod balance;
 mod carry;
-pub mod choose;
 pub mod claim;
 mod error;
 pub mod gateway;
@@ -25,6 +24,7 @@
 mod intent;
 pub mod ledger;
 pub mod member;
+pub mod model_selection;
 mod plan;
 pub mod quality;
 pub mod refusal;
--- a/crates/ivyweir-policy/tests/load.rs
+++ b/crates/ivyweir-policy/tests/load.rs
@@ -2,11 +2,11 @@
 
 use std::collections::HashMap;
 
-use ivyweir_policy::admit::{Denied, Limits, Queue, Ticket};
+use ivyweir_policy::admission::{AdmissionError, Limits, Queue, QueuedRequest};
 use ivyweir_policy::balance::{Balancer, Policy, Report, Shortage, Upstream, Want};
-use ivyweir_policy::choose::{Candidate, Choice, Needs, choose};
 use ivyweir_policy::hash::{hash64, mix};
 use ivyweir_policy::member::{Health, Record, Table, Timing};
+use ivyweir_policy::model_selection::{Candidate, Choice, Constraints, select};
 use ivyweir_policy::quality::{BUCKETS, Count};
 use ivyweir_policy::retry::{RetryBudget, jittered_retry_after_ms};
 use ivyweir_policy::version_health::ChangeDetector;
@@ -139,8 +139,8 @@
     assert_eq!((now.in_flight(), now.is_ejected(100_001)), (0, false));
 }
 
-fn ticket(id: u64, workspace: &str, weight: u32) -> Ticket {
-    Ticket {
+fn ticket(id: u64, workspace: &str, weight: u32) -> QueuedRequest {
+    QueuedRequest {
         id,
         workspace: workspace.into(),
         weight,
@@ -152,23 +152,23 @@
 #[test]
 fn a_flood_does_not_keep_others_from_their_share() {
     let mut queue = Queue::new(Limits {
-        total: 100,
+        max_queued: 100,
         max_wait_ms: 9_000,
     });
     for id in 0..100 {
         queue
-            .offer(ticket(id, "flood", 1), 0, 0)
+            .enqueue(ticket(id, "flood", 1), 0, 0)
             .expect("there is room");
     }
     assert_eq!(
-        queue.offer(ticket(100, "flood", 1), 0, 0),
-        Err(Denied::Full)
+        queue.enqueue(ticket(100, "flood", 1), 0, 0),
+        Err(AdmissionError::QueueFull)
     );
     let mut displaced = 0;
     for id in 101..131 {
         displaced += usize::from(
             queue
-                .offer(ticket(id, "small", 1), 0, 0)
+                .enqueue(ticket(id, "small", 1), 0, 0)
                 .expect("a share")
                 .is_some(),
         );
@@ -177,7 +177,7 @@
     let mut served: HashMap<Name, u32> = HashMap::new();
     for _ in 0..40 {
         let next = queue
-            .next(1, &mut Vec::new(), |_| true)
+            .dequeue(1, &mut Vec::new(), |_| true)
             .expect("somebody waits");
         *served.entry(next.workspace).or_default() += 1;
     }
@@ -187,27 +187,30 @@
 #[test]
 fn weights_priorities_and_deadlines_are_kept() {
     let mut queue = Queue::new(Limits {
-        total: 200,
+        max_queued: 200,
         max_wait_ms: 500,
     });
-    assert_eq!(queue.offer(ticket(0, "a", 1), 0, 501), Err(Denied::TooLate));
+    assert_eq!(
+        queue.enqueue(ticket(0, "a", 1), 0, 501),
+        Err(AdmissionError::WaitTooLong)
+    );
     for id in 1..=60 {
         let workspace = if id % 2 == 0 { "heavy" } else { "light" };
         let weight = if id % 2 == 0 { 3 } else { 1 };
         queue
-            .offer(ticket(id, workspace, weight), 0, 0)
+            .enqueue(ticket(id, workspace, weight), 0, 0)
             .expect("there is room");
     }
-    let urgent = Ticket {
+    let urgent = QueuedRequest {
         priority: 9,
         ..ticket(99, "light", 1)
     };
-    queue.offer(urgent, 0, 0).expect("there is room");
+    queue.enqueue(urgent, 0, 0).expect("there is room");
     let mut order = Vec::new();
     for _ in 0..24 {
         order.push(
             queue
-                .next(1, &mut Vec::new(), |_| true)
+                .dequeue(1, &mut Vec::new(), |_| true)
                 .expect("somebody waits"),
         );
     }
@@ -222,7 +225,7 @@
         .map(|t| t.id);
     assert_eq!(first_light, Some(99));
     let mut expired = Vec::new();
-    assert_eq!(queue.next(10_000, &mut expired, |_| true), None);
+    assert_eq!(queue.dequeue(10_000, &mut expired, |_| true), None);
     assert_eq!((expired.len(), queue.len()), (37, 0));
 }
 
@@ -235,11 +238,11 @@
         }
     }
     Candidate {
-        at: name.parse().expect("a version"),
+        version: name.parse().expect("a version"),
         cost_micro_per_ktoken: cost,
         prior_quality: 0.7,
         buckets,
-        bad: false,
+        is_bad: false,
     }
 }
 
@@ -257,10 +260,10 @@
             ];
             for at in $bad {
                 let at: usize = at;
-                candidates[at].bad = true;
+                candidates[at].is_bad = true;
             }
-            let needs = Needs { quality_target: $target, may_cascade: $may };
-            let choice = choose(&candidates, needs);
+            let needs = Constraints { quality_target: $target, may_cascade: $may };
+            let choice = select(&candidates, needs);
             assert_eq!(choice, Some($choice));
         })*
     };
@@ -272,7 +275,7 @@
     the_strong_for_a_high_target: target 0.9, cascade false, bad [] => Choice::Single(2);
     the_best_where_none_meets: target 0.99, cascade false, bad [] => Choice::Single(2);
     a_cascade_where_it_is_cheaper: target 0.9, cascade true, bad [] =>
-        Choice::Cascade { first: 0, then: 2, accept_from: 4 };
+        Choice::Cascade { first: 0, fallback: 2, min_accepted_bucket: 4 };
     no_bad_one: target 0.5, cascade true, bad [0] => Choice::Single(1);
     a_bad_one_where_there_is_no_other: target 0.5, cascade false, bad [0, 1, 2] => Choice::Single(0);
 }
--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -2,8 +2,8 @@
 
 use ivyweir_caller::{ChatRequest, Reply};
 use ivyweir_policy::Refusal;
-use ivyweir_policy::choose::Choice;
 use ivyweir_policy::ledger::Call;
+use ivyweir_policy::model_selection::Choice;
 
 use crate::context::Context;
 use crate::route::{self, Route};
@@ -31,22 +31,28 @@
     request: &ChatRequest,
     route: &Route,
 ) -> Result<(Answered, Vec<Call>), Refusal> {
-    let first_at = &route.first().at;
+    let first_at = &route.first().version;
     let first = run::call_whole(context, request, first_at, route.prefix)?;
     run::sample(context, &request.prompt(), &first);
     let mut calls = vec![run::charge(context, &first.at, first.answer.usage)];
     let Choice::Cascade {
-        then, accept_from, ..
+        fallback,
+        min_accepted_bucket,
+        ..
     } = route.choice
     else {
         return Ok((first, calls));
     };
-    if first.observation.bucket >= accept_from {
+    if first.observation.bucket >= min_accepted_bucket {
         return Ok((first, calls));
     }
     // Without a second answer, the first one is still whole and allowed.
-    let Ok(second) = run::call_whole(context, request, &route.candidates[then].at, route.prefix)
-    else {
+    let Ok(second) = run::call_whole(
+        context,
+        request,
+        &route.candidates[fallback].version,
+        route.prefix,
+    ) else {
         return Ok((first, calls));
     };
     run::sample(context, &request.prompt(), &second);
--- a/crates/ivyweird/src/gate.rs
+++ b/crates/ivyweird/src/gate.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crossbeam::channel::{Receiver, Sender, bounded};
-use ivyweir_policy::admit::{Denied, Limits, Pace, Queue, Ticket};
+use ivyweir_policy::admission::{AdmissionError, Limits, Queue, QueuedRequest, WaitEstimator};
 use ivyweir_policy::balance::{Balancer, Report, Shortage, Upstream, Want};
 use ivyweir_policy::retry::{RetryBudget, jittered_retry_after_ms};
 use ivyweir_policy::{BoxKind, BoxList, Code, Name, Refusal};
@@ -30,7 +30,7 @@
 
 struct Lane {
     queue: Queue,
-    pace: Pace,
+    pace: WaitEstimator,
 }
 
 struct Waiter {
@@ -136,7 +136,7 @@
                 budget: RetryBudget::default(),
             }),
             limits: Limits {
-                total: settings.limits.max_queued,
+                max_queued: settings.limits.max_queued,
                 max_wait_ms: settings.limits.max_wait_ms,
             },
             hall: settings.hall.clone(),
@@ -206,7 +206,7 @@
             .entry(lane_name.clone())
             .or_insert_with(|| Lane {
                 queue: Queue::new(limits),
-                pace: Pace::default(),
+                pace: WaitEstimator::default(),
             });
         let ahead = lane.queue.len();
         let wait_ms = lane.pace.wait_ms(ahead);
@@ -218,7 +218,7 @@
                 Err(Shortage::Full) => {}
             }
         }
-        let ticket = Ticket {
+        let ticket = QueuedRequest {
             id,
             workspace: ask.workspace.clone(),
             weight: ask.weight,
@@ -229,11 +229,13 @@
             .lanes
             .get_mut(&lane_name)
             .expect("the lane was just made");
-        let offered = lane.queue.offer(ticket, moment.now_ms, wait_ms);
+        let offered = lane.queue.enqueue(ticket, moment.now_ms, wait_ms);
         let displaced = match offered {
             Ok(displaced) => displaced,
-            Err(Denied::Full) => return Err(overloaded("the queue is full", wait_ms, id)),
-            Err(Denied::TooLate) => return Err(too_late(wait_ms, id)),
+            Err(AdmissionError::QueueFull) => {
+                return Err(overloaded("the queue is full", wait_ms, id));
+            }
+            Err(AdmissionError::WaitTooLong) => return Err(too_late(wait_ms, id)),
         };
         if let Some(victim) = displaced {
             inner.tell(victim.id, Grant::Displaced);
@@ -334,7 +336,7 @@
         let mut picked = None;
         let waiters = &self.waiters;
         let balancer = &mut self.balancer;
-        let ticket = lane.queue.next(moment.now_ms, &mut expired, |ticket| {
+        let ticket = lane.queue.dequeue(moment.now_ms, &mut expired, |ticket| {
             let Some(waiter) = waiters.get(&ticket.id) else {
                 return true;
             };
@@ -349,7 +351,7 @@
         let Some(ticket) = ticket else {
             return false;
         };
-        lane.pace.served(moment.now_ms);
+        lane.pace.record_dispatch(moment.now_ms);
         if let Some(upstream) = picked {
             self.tell(ticket.id, Grant::Go(Box::new(upstream)));
         }
--- a/crates/ivyweird/src/route.rs
+++ b/crates/ivyweird/src/route.rs
@@ -1,8 +1,8 @@
 //! Which versions may answer a request, and which does.
 
 use ivyweir_caller::ChatRequest;
-use ivyweir_policy::choose::{self, Candidate, Choice, Needs};
 use ivyweir_policy::hash::hash64;
+use ivyweir_policy::model_selection::{self, Candidate, Choice, Constraints};
 use ivyweir_policy::version_health;
 use ivyweir_policy::{Code, Config, Name, Refusal, VersionRef, VersionState, rollout};
 
@@ -175,18 +175,18 @@
         cost_micro_per_ktoken: version.cost_micro_per_ktoken,
         prior_quality: version.prior_quality,
         buckets: context.node.learning.by_bucket(at, &context.class, now_ms),
-        bad: is_bad(context, at),
-        at: at.clone(),
+        is_bad: is_bad(context, at),
+        version: at.clone(),
     }
 }
 
 /// Refuses where only bad versions are left, but for a few that find out whether they still are.
 fn check_not_bad(context: &Context<'_>, candidates: &[Candidate]) -> Result<(), Refusal> {
-    let all_bad = candidates.iter().all(|c| c.bad);
+    let all_bad = candidates.iter().all(|c| c.is_bad);
     if !all_bad || version_health::may_probe(draw_permille()) {
         return Ok(());
     }
-    let names: Vec<String> = candidates.iter().map(|c| c.at.to_string()).collect();
+    let names: Vec<String> = candidates.iter().map(|c| c.version.to_string()).collect();
     let text = format!(
         "{} is held to be bad and there is no other",
         names.join(", ")
@@ -216,17 +216,17 @@
         ModelSetting::Target => {}
     }
     let workspace = context.current.config.workspaces.get(&context.workspace);
-    let needs = Needs {
+    let needs = Constraints {
         quality_target: workspace.map_or(1.0, |w| w.quality_target),
         may_cascade: settings.cascade
             && !request.stream
             && !context.marks.at_most_once
             && context.left_ms() >= CASCADE_LEFT_MS,
     };
-    if let Some(choice) = choose::explore(candidates, needs, draw_permille()) {
+    if let Some(choice) = model_selection::explore(candidates, needs, draw_permille()) {
         return Ok(choice);
     }
-    choose::choose(candidates, needs)
+    model_selection::select(candidates, needs)
         .ok_or_else(|| Refusal::not_run(Code::ModelNotFound, "the workspace may use no model"))
 }
 
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -62,7 +62,7 @@
         Self {
             context,
             request,
-            at: route.first().at.clone(),
+            at: route.first().version.clone(),
             prefix: route.prefix,
             incoming: Some(incoming),
             events: None,
