--- a/crates/ivyweir-policy/src/claim.rs
+++ b/crates/ivyweir-policy/src/claim.rs
@@ -1,9 +1,10 @@
-//! At most once: the authority for the keys of a session, and the claim journal for the others.
+//! At-most-once execution of idempotency keys.
 //!
-//! The box that opened a session is the only one that runs its not-repeatable keys. It records a
-//! key before it sends. On a planned stop it freezes, hands its keys to one successor, and never
-//! runs one again. Keys without a session are claimed in a journal in the store, whose conditional
-//! update is the fence. `tests/claim_model.rs` explores both.
+//! The box that opened a session is the only one that executes its non-repeatable keys (the
+//! [`Authority`]). It records a key before it sends the request. On a planned shutdown it freezes,
+//! hands its keys over to one successor and never executes a key again. Keys without a session are
+//! claimed in a [`Journal`] in the store, whose conditional update prevents two holders.
+//! `tests/claim_model.rs` explores both protocols exhaustively.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,110 +12,113 @@
 
 use crate::Name;
 
-/// One start of a box.
+/// One run of the process of a box.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Incarnation {
-    /// The box.
+    /// Name of the box.
     pub box_name: Name,
-    /// Its incarnation.
+    /// Incarnation number of the box.
     pub number: u64,
 }
 
-/// What an authority says to a request that wants to run a key.
+/// Answer of an [`Authority`] to a request to execute a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Begin<A> {
-    /// Run it, now and once.
+pub enum BeginOutcome<A> {
+    /// The caller must execute it now, exactly once.
     Run,
-    /// It runs already.
+    /// It is being executed.
     Running,
-    /// It has run; this is its answer.
-    Kept(A),
-    /// It has run or may have; the answer is lost.
+    /// It was executed; this is the stored answer.
+    Completed(A),
+    /// It was or may have been executed; the answer is lost.
     Lost,
-    /// This box has handed over, or is about to.
+    /// This box is frozen; its keys are or will be handed over to the successor, if there is one.
     HandedOver(Option<Incarnation>),
-    /// This box is not the authority for that session.
-    NotMine,
+    /// This box is not the authority for the session.
+    NotAuthority,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum State<A> {
+enum KeyState<A> {
     Running,
-    Done(A),
+    Completed(A),
     Lost,
 }
 
-/// Whether an authority still runs keys.
+/// Whether an authority still accepts keys.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Phase {
     Active,
-    /// Takes no key any more; the successor is the only one it will ever hand over to.
+    /// Accepts no further keys. The successor is final.
     Frozen(Option<Incarnation>),
 }
 
-/// The keys that one box incarnation answers for.
+/// Execution state of the keys that one box incarnation is responsible for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Authority<A> {
-    me: Incarnation,
+    incarnation: Incarnation,
     phase: Phase,
-    keys: HashMap<Name, State<A>>,
-    adopted: Vec<Incarnation>,
+    keys: HashMap<Name, KeyState<A>>,
+    adopted_from: Vec<Incarnation>,
 }
 
 impl<A: Clone> Authority<A> {
-    /// An authority for the sessions that `me` opens.
-    pub fn new(me: Incarnation) -> Self {
+    /// Creates an authority for the sessions opened by `incarnation`.
+    pub fn new(incarnation: Incarnation) -> Self {
         Self {
-            me,
+            incarnation,
             phase: Phase::Active,
             keys: HashMap::new(),
-            adopted: Vec::new(),
+            adopted_from: Vec::new(),
         }
     }
 
-    /// Asks to run `key` of a session that `opener` opened.
-    pub fn begin(&mut self, opener: &Incarnation, key: &Name) -> Begin<A> {
-        let is_mine = *opener == self.me || self.adopted.contains(opener);
+    /// Requests to execute `key` of a session opened by `opener`.
+    pub fn begin(&mut self, opener: &Incarnation, key: &Name) -> BeginOutcome<A> {
+        let is_authority = *opener == self.incarnation || self.adopted_from.contains(opener);
         match self.keys.get(key) {
-            Some(State::Running) => return Begin::Running,
-            Some(State::Done(answer)) => return Begin::Kept(answer.clone()),
-            Some(State::Lost) => return Begin::Lost,
+            Some(KeyState::Running) => return BeginOutcome::Running,
+            Some(KeyState::Completed(answer)) => return BeginOutcome::Completed(answer.clone()),
+            Some(KeyState::Lost) => return BeginOutcome::Lost,
             None => {}
         }
-        if !is_mine {
-            return Begin::NotMine;
+        if !is_authority {
+            return BeginOutcome::NotAuthority;
         }
         if let Phase::Frozen(successor) = &self.phase {
-            return Begin::HandedOver(successor.clone());
+            return BeginOutcome::HandedOver(successor.clone());
         }
-        self.keys.insert(key.clone(), State::Running);
-        Begin::Run
+        self.keys.insert(key.clone(), KeyState::Running);
+        BeginOutcome::Run
     }
 
-    /// Records the answer of a key that ran here.
+    /// Records the answer of a key executed by this box.
     pub fn finish(&mut self, key: &Name, answer: A) {
-        self.keys.insert(key.clone(), State::Done(answer));
+        self.keys.insert(key.clone(), KeyState::Completed(answer));
     }
 
-    /// Records that a key ran, or may have, and has no answer to keep.
-    pub fn lose(&mut self, key: &Name) {
-        self.keys.insert(key.clone(), State::Lost);
+    /// Records that a key was or may have been executed and has no stored answer.
+    pub fn mark_lost(&mut self, key: &Name) {
+        self.keys.insert(key.clone(), KeyState::Lost);
     }
 
-    /// Takes back a key of which nothing has left for an upstream.
+    /// Removes a key whose request was never sent to an upstream.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the key is not being executed.
     pub fn release(&mut self, key: &Name) {
-        let running = matches!(self.keys.get(key), Some(State::Running));
-        assert!(
-            running,
-            "only a key that began and did not leave is released"
-        );
+        let running = matches!(self.keys.get(key), Some(KeyState::Running));
+        assert!(running, "release of a key that is not being executed");
         self.keys.remove(key);
     }
 
-    /// Stops running keys for ever and names the one successor. Returns the keys used so far.
+    /// Permanently stops accepting keys and sets the successor. Returns the successor and all keys
+    /// used so far.
     ///
-    /// Later calls keep the first successor: a second one could run a key that the first ran.
+    /// Later calls keep the first successor: a second successor could execute a key that the first
+    /// has already executed.
     pub fn freeze(&mut self, successor: Option<Incarnation>) -> (Option<Incarnation>, Vec<Name>) {
         if self.phase == Phase::Active {
             self.phase = Phase::Frozen(successor);
@@ -125,18 +129,19 @@
         (chosen.clone(), self.keys.keys().cloned().collect())
     }
 
-    /// Becomes the authority for the sessions of `from`, whose used keys are never run here.
+    /// Takes over the sessions of `from`. Its used keys are never executed here; those without a
+    /// record on this box are recorded as lost.
     ///
-    /// Returns whether it did; a frozen authority adopts nobody.
-    pub fn adopt(&mut self, from: Incarnation, used: Vec<Name>) -> bool {
+    /// Returns `false` if this authority is frozen.
+    pub fn adopt(&mut self, from: Incarnation, used_keys: Vec<Name>) -> bool {
         if self.phase != Phase::Active {
             return false;
         }
-        for key in used {
-            self.keys.entry(key).or_insert(State::Lost);
+        for key in used_keys {
+            self.keys.entry(key).or_insert(KeyState::Lost);
         }
-        if !self.adopted.contains(&from) {
-            self.adopted.push(from);
+        if !self.adopted_from.contains(&from) {
+            self.adopted_from.push(from);
         }
         true
     }
@@ -152,30 +157,30 @@
     }
 }
 
-/// Shards of the claim journal.
-pub const SHARDS: u64 = 1_024;
+/// Number of shards of the claim journal.
+pub const SHARD_COUNT: u64 = 1_024;
 
-/// How long a claim is remembered.
-pub const CLAIM_KEPT_MS: u64 = 24 * 3_600 * 1_000;
+/// Retention period of a claim.
+pub const CLAIM_RETENTION_MS: u64 = 24 * 3_600 * 1_000;
 
-/// The shard of a key.
+/// Returns the journal shard of a key.
 pub fn shard(workspace: &str, key: &str) -> u64 {
-    crate::hash::hash64(&[b"claim", workspace.as_bytes(), key.as_bytes()]) % SHARDS
+    crate::hash::hash64(&[b"claim", workspace.as_bytes(), key.as_bytes()]) % SHARD_COUNT
 }
 
-/// One claim: whoever holds it may run the key, once.
+/// A claim on a key. Its holder may execute the key once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// Unique to the request that asks; tells one's own claim from another's.
+    /// Unique per request; identifies whether a stored claim is from this request.
     pub nonce: Name,
-    /// The box that runs it.
+    /// Box that executes the request.
     pub holder: Incarnation,
-    /// When, in milliseconds since the epoch.
+    /// Time of the claim, in milliseconds since the epoch.
     pub at_ms: u64,
 }
 
-/// The claims of one shard, as the store keeps them.
+/// The claims of one shard, as stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Journal {
@@ -183,37 +188,37 @@
     pub claims: BTreeMap<Name, Claim>,
 }
 
-/// What the journal says of a claim.
+/// Result of [`Journal::claim`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
-    /// The claim is in the journal: once that is in the store, its nonce may run the key.
+pub enum ClaimOutcome {
+    /// The claim is in the journal. Its request may execute the key once the journal is stored.
     Granted,
-    /// Somebody else holds the key.
+    /// Another request holds the key.
     Taken(Incarnation),
 }
 
 impl Journal {
-    /// The name of a key in the journal.
+    /// Returns the name of a key in the journal.
     pub fn entry_name(workspace: &str, key: &str) -> Name {
         format!("{workspace}\n{key}").into()
     }
 
-    /// Adds a claim unless the key is taken; asking again with the same nonce changes nothing.
-    pub fn claim(&mut self, entry_name: Name, claim: Claim) -> Verdict {
-        let held = self
+    /// Adds a claim unless the key is taken. Repeating a claim with the same nonce is a no-op.
+    pub fn claim(&mut self, entry_name: Name, claim: Claim) -> ClaimOutcome {
+        let existing = self
             .claims
             .entry(entry_name)
             .or_insert_with(|| claim.clone());
-        if held.nonce == claim.nonce {
-            Verdict::Granted
+        if existing.nonce == claim.nonce {
+            ClaimOutcome::Granted
         } else {
-            Verdict::Taken(held.holder.clone())
+            ClaimOutcome::Taken(existing.holder.clone())
         }
     }
 
-    /// Drops claims that are older than [`CLAIM_KEPT_MS`].
-    pub fn forget(&mut self, now_ms: u64) {
-        let oldest_ms = now_ms.saturating_sub(CLAIM_KEPT_MS);
+    /// Removes claims older than [`CLAIM_RETENTION_MS`].
+    pub fn remove_expired(&mut self, now_ms: u64) {
+        let oldest_ms = now_ms.saturating_sub(CLAIM_RETENTION_MS);
         self.claims.retain(|_, c| c.at_ms >= oldest_ms);
     }
 }
--- a/crates/ivyweir-policy/tests/claim_model.rs
+++ b/crates/ivyweir-policy/tests/claim_model.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashSet, VecDeque};
 
 use ivyweir_policy::Name;
-use ivyweir_policy::claim::{Authority, Begin, Claim, Incarnation, Journal, Verdict};
+use ivyweir_policy::claim::{Authority, BeginOutcome, Claim, ClaimOutcome, Incarnation, Journal};
 
 const BOXES: usize = 3;
 const MAX_REQUESTS: u8 = 3;
@@ -108,7 +108,7 @@
             incarnation(at)
         };
         let ran = held.used && !held.released;
-        if ran && authority.begin(&opener, &key()) == Begin::Run && held.finished {
+        if ran && authority.begin(&opener, &key()) == BeginOutcome::Run && held.finished {
             authority.finish(&key(), 1);
         }
         if let Some(successor) = held.frozen
@@ -142,7 +142,7 @@
                 incarnation(at)
             };
             let mut authority = self.authority(at, setup);
-            if authority.begin(&opener, &key()) != Begin::Run {
+            if authority.begin(&opener, &key()) != BeginOutcome::Run {
                 continue;
             }
             let mut then = self.clone();
@@ -204,7 +204,7 @@
         let mut written = self.clone();
         let verdict = written.journal.claim(key(), claim);
         match verdict {
-            Verdict::Granted => {
+            ClaimOutcome::Granted => {
                 // The answer comes, or it is lost: then the box reads again, or gives up.
                 let mut granted = written.clone();
                 granted.requests[which].stage = Stage::Claimed;
@@ -215,7 +215,7 @@
                 given_up.requests.remove(which);
                 next.push(given_up);
             }
-            Verdict::Taken(_) => next.push(refused()),
+            ClaimOutcome::Taken(_) => next.push(refused()),
         }
     }
 
--- a/crates/ivyweird/src/once.rs
+++ b/crates/ivyweird/src/once.rs
@@ -6,7 +6,9 @@
 use ivyweir_caller::Reply;
 use ivyweir_peer::pb;
 use ivyweir_platform::{ErrorKind, Expect, PutOutcome};
-use ivyweir_policy::claim::{self, Authority, Begin, Claim, Incarnation, Journal, Verdict};
+use ivyweir_policy::claim::{
+    self, Authority, BeginOutcome, Claim, ClaimOutcome, Incarnation, Journal,
+};
 use ivyweir_policy::{Code, Name, Refusal, hash};
 
 use crate::clock::Clock;
@@ -58,25 +60,27 @@
         Self {
             me: me.clone(),
             shards: Shards::new(make),
-            writers: (0..claim::SHARDS).map(|_| Mutex::new(())).collect(),
+            writers: (0..claim::SHARD_COUNT).map(|_| Mutex::new(())).collect(),
         }
     }
 
     /// Asks to run `key`, for a session that `opener` opened or for none.
     pub fn begin(&self, opener: &Incarnation, key: &Name) -> Permit {
         match self.shards.of(key).authority.begin(opener, key) {
-            Begin::Run => Permit::Run,
-            Begin::Kept(reply) => Permit::Kept(reply),
-            Begin::Running => Permit::Refused(Refusal::unknown(
+            BeginOutcome::Run => Permit::Run,
+            BeginOutcome::Completed(reply) => Permit::Kept(reply),
+            BeginOutcome::Running => Permit::Refused(Refusal::unknown(
                 Code::Duplicate,
                 "the request with this key is still running",
             )),
-            Begin::Lost => Permit::Refused(lost()),
-            Begin::HandedOver(Some(successor)) => Permit::Elsewhere(successor),
-            Begin::HandedOver(None) | Begin::NotMine => Permit::Refused(Refusal::unknown(
-                Code::SessionLost,
-                "the box that opened the session is gone; open a new session",
-            )),
+            BeginOutcome::Lost => Permit::Refused(lost()),
+            BeginOutcome::HandedOver(Some(successor)) => Permit::Elsewhere(successor),
+            BeginOutcome::HandedOver(None) | BeginOutcome::NotAuthority => {
+                Permit::Refused(Refusal::unknown(
+                    Code::SessionLost,
+                    "the box that opened the session is gone; open a new session",
+                ))
+            }
         }
     }
 
@@ -84,7 +88,7 @@
     pub fn finish(&self, key: &Name, reply: &Reply) {
         let mut shard = self.shards.of(key);
         if reply.body.len() > MAX_KEPT_BYTES {
-            shard.authority.lose(key);
+            shard.authority.mark_lost(key);
             return;
         }
         shard.authority.finish(key, reply.clone());
@@ -92,13 +96,13 @@
         if shard.kept.len() > KEPT_PER_SHARD
             && let Some(oldest) = shard.kept.pop_front()
         {
-            shard.authority.lose(&oldest);
+            shard.authority.mark_lost(&oldest);
         }
     }
 
     /// Notes that a key ran, or may have, without an answer.
     pub fn lose(&self, key: &Name) {
-        self.shards.of(key).authority.lose(key);
+        self.shards.of(key).authority.mark_lost(key);
     }
 
     /// Takes back a key of which nothing has left for an upstream.
@@ -124,7 +128,7 @@
         let mut adopted = true;
         // Each key goes to its own shard before any shard answers for the sessions.
         for key in by_shard.drain(..) {
-            self.shards.of(&key).authority.lose(&key);
+            self.shards.of(&key).authority.mark_lost(&key);
         }
         for mut shard in self.shards.iter() {
             adopted &= shard.authority.adopt(from.clone(), Vec::new());
@@ -143,13 +147,13 @@
             ..Default::default()
         };
         match self.shards.of(key).authority.begin(&nobody, key) {
-            Begin::Kept(reply) => pb::OutcomeReply {
+            BeginOutcome::Completed(reply) => pb::OutcomeReply {
                 status: pb::OutcomeStatus::OutcomeKept.into(),
                 http_status: u32::from(reply.status),
                 content_type: content_type(&reply),
                 body: reply.body,
             },
-            Begin::Running => status(pb::OutcomeStatus::OutcomeRunning),
+            BeginOutcome::Running => status(pb::OutcomeStatus::OutcomeRunning),
             _ => status(pb::OutcomeStatus::OutcomeUnknown),
         }
     }
@@ -291,13 +295,13 @@
     };
     let verdict = journal.claim(entry, claim);
     let claimed = match verdict {
-        Verdict::Granted => Claimed::Granted,
-        Verdict::Taken(holder) => Claimed::Taken(holder),
+        ClaimOutcome::Granted => Claimed::Granted,
+        ClaimOutcome::Taken(holder) => Claimed::Taken(holder),
     };
     if was_there {
         return Ok(Some(claimed));
     }
-    journal.forget(Clock::epoch_ms());
+    journal.remove_expired(Clock::epoch_ms());
     let body = serde_json::to_vec(&journal).expect("a journal is always valid JSON");
     node.metrics.store_call("claim_write");
     node.metrics.claim_writes.add(1, &[]);
