--- a/crates/ivyweir-policy/src/balance.rs
+++ b/crates/ivyweir-policy/src/balance.rs
@@ -1,84 +1,85 @@
-//! Which upstream gets a call: prefix affinity with bounded load, corrected lagging reports.
+//! Load balancing over upstreams: prefix affinity with bounded load, based on reported load that is
+//! corrected for calls made since the report.
 
 use std::collections::HashMap;
 
 use crate::hash::mix;
 use crate::{BoxState, Name};
 
-pub use crate::upstream::{Report, Upstream, VersionSet};
+pub use crate::upstream::{LoadReport, Upstream, VersionSet};
 
-/// Load over its fair share at which affinity gives way, in thousandths.
-const BOUND_PERMILLE: u64 = 1_250;
-/// How much slower than the median an upstream may be before it counts as slow.
+/// Maximum load relative to the fair share at which affinity is followed, in thousandths.
+const LOAD_BOUND_PERMILLE: u64 = 1_250;
+/// Multiple of the median first-token latency above which an upstream counts as slow.
 const SLOW_FACTOR: u64 = 3;
 
-/// How the upstream is chosen; everything but [`Policy::Affinity`] is a baseline.
+/// Load-balancing policy. All but [`Policy::Affinity`] are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Policy {
     /// Prefix affinity with bounded load, then two random choices.
     #[default]
     Affinity,
-    /// Two random choices by corrected load.
+    /// The less loaded of two random upstreams, by corrected load.
     TwoChoices,
-    /// In turn.
+    /// Round robin.
     RoundRobin,
-    /// At random.
+    /// Uniformly random.
     Random,
-    /// Fewest calls of this box.
+    /// Fewest calls in flight from this box.
     LeastInFlight,
 }
 
-/// What a call needs of its upstream.
+/// Requirements of a call on its upstream, and the context of the choice.
 #[derive(Debug, Clone, Copy)]
-pub struct Want<'a> {
-    /// The pool, or none for any engine.
+pub struct CallRequirements<'a> {
+    /// Required pool, or `None` for any.
     pub pool: Option<&'a str>,
-    /// The version it must have loaded, as `model@version`.
+    /// Required loaded version, as `model@version`.
     pub version: Option<&'a str>,
-    /// Hash of what calls with a common prefix share.
+    /// Hash that calls with a common prompt prefix share.
     pub prefix: Option<u64>,
-    /// The hall of this box.
+    /// Hall of this box.
     pub hall: &'a str,
-    /// Boxes that share the upstreams.
+    /// Number of live boxes that share the upstreams.
     pub live_boxes: u32,
-    /// Upstreams already tried.
+    /// Upstreams already tried, which are excluded.
     pub tried: &'a [Name],
-    /// Random bits.
+    /// Random bits for the choice.
     pub random: u64,
-    /// Now, in milliseconds.
+    /// Current time, in milliseconds.
     pub now_ms: u64,
 }
 
-/// Why no upstream was picked.
+/// Why no upstream could be picked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shortage {
-    /// None offers what the call needs.
-    NoneOffers,
-    /// All that do are at their limit.
-    Full,
+pub enum PickError {
+    /// No upstream satisfies the requirements.
+    NoMatch,
+    /// All matching upstreams are at capacity.
+    NoCapacity,
 }
 
-/// Load of several upstreams together.
+/// Total load of a set of upstreams.
 #[derive(Debug, Clone, Copy, Default)]
-struct Load {
+struct LoadTotals {
     slots: u64,
-    held: u64,
-    own: u64,
+    corrected_load: u64,
+    in_flight: u64,
 }
 
-/// The upstreams that this box knows.
+/// Upstreams known to this box, and the choice among them.
 #[derive(Debug, Default)]
 pub struct Balancer {
     upstreams: Vec<Upstream>,
     by_name: HashMap<Name, usize>,
     by_id: HashMap<u64, usize>,
     policy: Policy,
-    turn: usize,
-    instances: u64,
+    round_robin_counter: usize,
+    last_instance: u64,
 }
 
 impl Balancer {
-    /// A balancer that chooses by `policy`.
+    /// Creates a balancer with the given policy and no upstreams.
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
@@ -86,33 +87,34 @@
         }
     }
 
-    /// Adds an upstream or takes over its address and state.
+    /// Adds an upstream, or updates the state, hall and pool of a known one.
     ///
-    /// At another address it is another upstream: calls to the old one end without a trace.
-    pub fn upsert(&mut self, mut fresh: Upstream) {
-        self.instances += 1;
-        fresh.instance = self.instances;
-        match self.by_name.get(&fresh.name) {
-            Some(&at) => {
-                let known = &mut self.upstreams[at];
-                if known.addr != fresh.addr {
-                    *known = fresh;
+    /// A changed address means a different upstream under the same name: its counters start anew,
+    /// and calls to the previous instance are not counted when they finish.
+    pub fn upsert(&mut self, mut updated: Upstream) {
+        self.last_instance += 1;
+        updated.instance = self.last_instance;
+        match self.by_name.get(&updated.name) {
+            Some(&index) => {
+                let known = &mut self.upstreams[index];
+                if known.addr != updated.addr {
+                    *known = updated;
                     return;
                 }
-                known.state = fresh.state;
-                known.hall = fresh.hall;
-                known.pool = fresh.pool;
+                known.state = updated.state;
+                known.hall = updated.hall;
+                known.pool = updated.pool;
             }
             None => {
-                let at = self.upstreams.len();
-                self.by_name.insert(fresh.name.clone(), at);
-                self.by_id.insert(fresh.id(), at);
-                self.upstreams.push(fresh);
+                let index = self.upstreams.len();
+                self.by_name.insert(updated.name.clone(), index);
+                self.by_id.insert(updated.id(), index);
+                self.upstreams.push(updated);
             }
         }
     }
 
-    /// Marks every upstream that `is_listed` does not name as leaving.
+    /// Marks all unlisted upstreams as leaving, and removes those without calls in flight.
     pub fn retire_unlisted(&mut self, is_listed: impl Fn(&str) -> bool) {
         for upstream in &mut self.upstreams {
             if !is_listed(&upstream.name) {
@@ -121,101 +123,117 @@
         }
         self.upstreams
             .retain(|u| u.state == BoxState::Live || u.in_flight() > 0 || is_listed(&u.name));
-        let numbered = || self.upstreams.iter().enumerate();
-        self.by_name = numbered().map(|(at, u)| (u.name.clone(), at)).collect();
-        self.by_id = numbered().map(|(at, u)| (u.id(), at)).collect();
+        let indexed = || self.upstreams.iter().enumerate();
+        self.by_name = indexed()
+            .map(|(index, u)| (u.name.clone(), index))
+            .collect();
+        self.by_id = indexed().map(|(index, u)| (u.id(), index)).collect();
     }
 
-    /// All upstreams.
+    /// Iterates over all upstreams.
     pub fn iter(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.iter()
     }
 
-    /// The upstream of this name.
+    /// Returns the upstream of this name.
     pub fn get(&self, name: &str) -> Option<&Upstream> {
-        self.by_name.get(name).map(|&at| &self.upstreams[at])
+        self.by_name.get(name).map(|&index| &self.upstreams[index])
     }
 
-    /// Takes in a report by the upstream's id if it is newer than the one held.
-    pub fn report(&mut self, id: u64, report: Report) -> bool {
-        let Some(&at) = self.by_id.get(&id) else {
+    /// Applies a load report to the upstream of this id.
+    ///
+    /// Returns `false` if the upstream is unknown or its current report is at least as new.
+    pub fn apply_report(&mut self, id: u64, report: LoadReport) -> bool {
+        let Some(&index) = self.by_id.get(&id) else {
             return false;
         };
-        self.upstreams[at].take_report(report)
+        self.upstreams[index].apply_report(report)
     }
 
-    /// Picks an upstream and counts the call as sent.
+    /// Picks an upstream and counts the call as in flight.
     ///
     /// # Errors
     ///
-    /// [`Shortage`] when none can take the call.
-    pub fn pick(&mut self, want: &Want<'_>) -> Result<Upstream, Shortage> {
-        let offering: Vec<usize> = (0..self.upstreams.len())
-            .filter(|&at| self.upstreams[at].offers(want))
-            .filter(|&at| !want.tried.contains(&self.upstreams[at].name))
+    /// Returns [`PickError`] if no upstream can take the call.
+    pub fn pick(&mut self, call: &CallRequirements<'_>) -> Result<Upstream, PickError> {
+        let matching: Vec<usize> = (0..self.upstreams.len())
+            .filter(|&index| self.upstreams[index].satisfies(call))
+            .filter(|&index| !call.tried.contains(&self.upstreams[index].name))
             .collect();
-        if offering.is_empty() {
-            return Err(Shortage::NoneOffers);
+        if matching.is_empty() {
+            return Err(PickError::NoMatch);
         }
-        let open = self.not_ejected(&offering, want.now_ms);
-        let with_room: Vec<usize> = open
+        let not_ejected = self.without_ejected(&matching, call.now_ms);
+        let available: Vec<usize> = not_ejected
             .into_iter()
-            .filter(|&at| self.upstreams[at].has_room(want.live_boxes, want.now_ms))
+            .filter(|&index| self.upstreams[index].has_capacity(call.live_boxes, call.now_ms))
             .collect();
-        if with_room.is_empty() {
-            return Err(Shortage::Full);
+        if available.is_empty() {
+            return Err(PickError::NoCapacity);
         }
-        let at = self.choose_among(&with_room, want);
-        let upstream = &mut self.upstreams[at];
-        upstream.send();
+        let index = self.select(&available, call);
+        let upstream = &mut self.upstreams[index];
+        upstream.start_call();
         Ok(upstream.clone())
     }
 
-    /// Ejected ones take part again only when their time is over, or when there is no other.
-    fn not_ejected(&self, offering: &[usize], now_ms: u64) -> Vec<usize> {
-        let open: Vec<usize> = offering
+    /// Filters out ejected upstreams, unless all of them are ejected.
+    fn without_ejected(&self, matching: &[usize], now_ms: u64) -> Vec<usize> {
+        let not_ejected: Vec<usize> = matching
             .iter()
             .copied()
-            .filter(|&at| !self.upstreams[at].is_ejected(now_ms))
+            .filter(|&index| !self.upstreams[index].is_ejected(now_ms))
             .collect();
-        if open.is_empty() {
-            offering.to_vec()
+        if not_ejected.is_empty() {
+            matching.to_vec()
         } else {
-            open
+            not_ejected
         }
     }
 
-    fn choose_among(&mut self, with_room: &[usize], want: &Want<'_>) -> usize {
+    fn select(&mut self, available: &[usize], call: &CallRequirements<'_>) -> usize {
         let random =
-            |salt: u64| with_room[(mix(want.random, salt) % with_room.len() as u64) as usize];
+            |salt: u64| available[(mix(call.random, salt) % available.len() as u64) as usize];
         match self.policy {
             Policy::RoundRobin => {
-                self.turn = self.turn.wrapping_add(1);
-                with_room[self.turn % with_room.len()]
+                self.round_robin_counter = self.round_robin_counter.wrapping_add(1);
+                available[self.round_robin_counter % available.len()]
             }
             Policy::Random => random(1),
-            Policy::LeastInFlight => *with_room
+            Policy::LeastInFlight => *available
                 .iter()
-                .min_by_key(|&&at| (self.upstreams[at].in_flight(), mix(want.random, at as u64)))
-                .expect("there is one with room"),
-            Policy::TwoChoices => self.better(random(1), random(2), want, with_room),
+                .min_by_key(|&&index| {
+                    (
+                        self.upstreams[index].in_flight(),
+                        mix(call.random, index as u64),
+                    )
+                })
+                .expect("`available` is not empty"),
+            Policy::TwoChoices => self.less_loaded(random(1), random(2), call, available),
             Policy::Affinity => self
-                .by_affinity(with_room, want)
-                .unwrap_or_else(|| self.better(random(1), random(2), want, with_room)),
+                .select_by_affinity(available, call)
+                .unwrap_or_else(|| self.less_loaded(random(1), random(2), call, available)),
         }
     }
 
-    fn better(&self, a: usize, b: usize, want: &Want<'_>, with_room: &[usize]) -> usize {
-        let slow_ms = self.slow_ms(with_room);
-        let score = |at: usize| self.upstreams[at].score(want.hall, want.now_ms, slow_ms);
+    fn less_loaded(
+        &self,
+        a: usize,
+        b: usize,
+        call: &CallRequirements<'_>,
+        available: &[usize],
+    ) -> usize {
+        let slow_threshold_ms = self.slow_threshold_ms(available);
+        let score =
+            |index: usize| self.upstreams[index].score(call.hall, call.now_ms, slow_threshold_ms);
         if score(a) <= score(b) { a } else { b }
     }
 
-    /// First token time over which an upstream counts as slow: some times the median.
-    fn slow_ms(&self, among: &[usize]) -> u64 {
-        let mut times: Vec<u64> = among
+    /// First-token latency above which an upstream counts as slow, or 0 if there are no samples.
+    fn slow_threshold_ms(&self, indices: &[usize]) -> u64 {
+        let mut times: Vec<u64> = indices
             .iter()
-            .map(|&at| self.upstreams[at].first_token_ms())
+            .map(|&index| self.upstreams[index].first_token_ms())
             .filter(|&t| t > 0)
             .collect();
         let middle = times.len() / 2;
@@ -225,42 +243,48 @@
         *times.select_nth_unstable(middle).1 * SLOW_FACTOR
     }
 
-    /// The first in rendezvous order whose load is within the bound.
+    /// Returns the first upstream in rendezvous order for the prefix that is within the load bound.
     ///
-    /// Reports lag, and all boxes choose alike, so this box's own calls are the newest sample of
-    /// everybody's: they must be within the bound too.
-    fn by_affinity(&self, with_room: &[usize], want: &Want<'_>) -> Option<usize> {
-        let prefix = want.prefix?;
-        let mut sum = Load::default();
-        for &at in with_room {
-            let u = &self.upstreams[at];
-            sum.slots += u.slots(want.now_ms);
-            sum.held += u.corrected();
-            sum.own += u64::from(u.in_flight());
+    /// Reports lag, and all boxes choose the same way, so the calls of this box are the most recent
+    /// sample of the load from all boxes. They must be within the bound too.
+    fn select_by_affinity(
+        &self,
+        available: &[usize],
+        call: &CallRequirements<'_>,
+    ) -> Option<usize> {
+        let prefix = call.prefix?;
+        let mut totals = LoadTotals::default();
+        for &index in available {
+            let u = &self.upstreams[index];
+            totals.slots += u.slots(call.now_ms);
+            totals.corrected_load += u.corrected_load();
+            totals.in_flight += u64::from(u.in_flight());
         }
-        let slow_ms = self.slow_ms(with_room);
-        let within = |at: &&usize| {
-            let u = &self.upstreams[**at];
+        let slow_threshold_ms = self.slow_threshold_ms(available);
+        let is_within_bound = |index: &&usize| {
+            let u = &self.upstreams[**index];
             let bound = |total: u64| {
-                let share = (total + 1) * u.slots(want.now_ms) * BOUND_PERMILLE;
-                share.div_ceil(sum.slots.max(1) * 1_000)
+                let share = (total + 1) * u.slots(call.now_ms) * LOAD_BOUND_PERMILLE;
+                share.div_ceil(totals.slots.max(1) * 1_000)
             };
-            let is_slow = slow_ms > 0 && u.first_token_ms() > slow_ms;
-            let own = u64::from(u.in_flight());
-            u.corrected() <= bound(sum.held) && own < bound(sum.own) && !is_slow
+            let is_slow = slow_threshold_ms > 0 && u.first_token_ms() > slow_threshold_ms;
+            let in_flight = u64::from(u.in_flight());
+            u.corrected_load() <= bound(totals.corrected_load)
+                && in_flight < bound(totals.in_flight)
+                && !is_slow
         };
-        with_room
+        available
             .iter()
-            .filter(within)
-            .max_by_key(|&&at| mix(prefix, self.upstreams[at].id()))
+            .filter(is_within_bound)
+            .max_by_key(|&&index| mix(prefix, self.upstreams[index].id()))
             .copied()
     }
 
-    /// Counts a call as over; `picked` is what [`pick`](Self::pick) gave for it.
+    /// Records the end of a call; `picked` is the upstream returned by [`pick`](Self::pick).
     pub fn finish(
         &mut self,
         picked: &Upstream,
-        ok: bool,
+        succeeded: bool,
         first_token_ms: Option<u64>,
         now_ms: u64,
     ) {
@@ -270,11 +294,11 @@
         if upstream.instance != picked.instance {
             return;
         }
-        upstream.finish(ok, first_token_ms, now_ms);
+        upstream.finish_call(succeeded, first_token_ms, now_ms);
     }
 
     fn get_mut(&mut self, name: &str) -> Option<&mut Upstream> {
-        let at = *self.by_name.get(name)?;
-        Some(&mut self.upstreams[at])
+        let index = *self.by_name.get(name)?;
+        Some(&mut self.upstreams[index])
     }
 }
--- a/crates/ivyweir-policy/src/retry.rs
+++ b/crates/ivyweir-policy/src/retry.rs
@@ -2,7 +2,7 @@
 
 use crate::hash::mix;
 
-/// Credit added per first attempt, in thousandths of a retry: 100 allows one retry per ten requests.
+/// Credit per first attempt, in thousandths of a retry: 100 allows one retry per ten requests.
 const DEPOSIT_PERMILLE: u32 = 100;
 const RETRY_COST_PERMILLE: u32 = 1_000;
 const MAX_BALANCE_PERMILLE: u32 = 20_000;
--- a/crates/ivyweir-policy/src/upstream.rs
+++ b/crates/ivyweir-policy/src/upstream.rs
@@ -1,26 +1,27 @@
-//! What this box knows about one upstream.
+//! State of one upstream as seen by this box: load, failures and latency.
 
 use std::sync::Arc;
 
-use crate::balance::Want;
+use crate::balance::CallRequirements;
 use crate::hash::hash64;
 use crate::{BoxState, Name};
 
-/// Time out after one failure; long enough to send the next calls elsewhere.
-const FIRST_EJECT_MS: u64 = 250;
-/// Time out after a second failure in a row; doubles with each further one.
-const EJECT_MS: u64 = 1_000;
-const EJECT_MAX_MS: u64 = 30_000;
-/// Own calls beyond the reported free slots that one box may risk, in thousandths of its share.
+/// Ejection time after a first failure; long enough to route the next calls elsewhere.
+const FIRST_EJECTION_MS: u64 = 250;
+/// Ejection time after the second consecutive failure; doubles with each further one.
+const REPEATED_EJECTION_MS: u64 = 1_000;
+const MAX_EJECTION_MS: u64 = 30_000;
+/// Calls in flight that this box may have without regard to reported free slots, in thousandths of
+/// its share.
 const HEADROOM_PERMILLE: u64 = 1_250;
-/// Weight of the newest time in the moving average, in thousandths.
+/// Weight of the newest sample in the moving average, in thousandths.
 const EWMA_PERMILLE: u64 = 200;
-/// Cost of leaving the hall, in queued calls per slot, in thousandths.
-const HALL_PENALTY_MILLI: u64 = 150;
-/// Time over which a new upstream's limit grows to its full size.
+/// Score penalty for an upstream in another hall, in thousandths of a call per slot.
+const CROSS_HALL_PENALTY_MILLI: u64 = 150;
+/// Slow-start period over which the usable slots of a new upstream grow to the reported number.
 const WARM_UP_MS: u64 = 3_000;
 
-/// Versions that an upstream has loaded; shared, as few sets cover all upstreams.
+/// Versions that an upstream has loaded. Cheap to clone, as most upstreams have the same few sets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionSet {
     names: Arc<[Name]>,
@@ -28,12 +29,12 @@
 }
 
 impl VersionSet {
-    /// The versions, as `model@version`.
+    /// Returns the versions, as `model@version`.
     pub fn names(&self) -> &[Name] {
         &self.names
     }
 
-    /// The set's id: a hash of its names.
+    /// Returns a hash of the names that identifies the set.
     pub fn id(&self) -> u32 {
         self.id
     }
@@ -57,51 +58,51 @@
     }
 }
 
-/// What an upstream reported last.
+/// Load report of an upstream.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Report {
-    /// Calls running.
+pub struct LoadReport {
+    /// Number of running calls.
     pub running: u32,
-    /// Calls waiting.
+    /// Number of waiting calls.
     pub waiting: u32,
-    /// Calls that may run at once.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Versions it has loaded, as `model@version`.
+    /// Loaded versions, as `model@version`.
     pub versions: VersionSet,
-    /// When it was made, by this box's clock, in milliseconds.
+    /// Time of the report by this box's clock, in milliseconds.
     pub at_ms: u64,
 }
 
-/// What this box knows about one upstream.
+/// An upstream and its load, failures and latency as seen by this box.
 #[derive(Debug, Clone)]
 pub struct Upstream {
-    /// Its name.
+    /// Unique name.
     pub name: Name,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: Name,
-    /// Its hall.
+    /// Hall that it is in.
     pub hall: Name,
-    /// Its pool.
+    /// Pool that it belongs to.
     pub pool: Name,
-    /// Whether it takes new work.
+    /// Whether it accepts new calls.
     pub state: BoxState,
-    /// Its newest report.
-    pub report: Report,
+    /// Latest load report.
+    pub report: LoadReport,
     id: u64,
     in_flight: u32,
     sent_since_report: u32,
     done_since_report: u32,
-    failures_in_row: u32,
+    consecutive_failures: u32,
     ejected_until_ms: u64,
     first_seen_ms: u64,
     first_token_ewma_ms: u64,
-    changed_ms: u64,
-    /// Tells this upstream from another one that had its name before.
+    report_changed_ms: u64,
+    /// Distinguishes this upstream from earlier ones of the same name.
     pub(crate) instance: u64,
 }
 
 impl Upstream {
-    /// An upstream without a report.
+    /// Creates an upstream that has not reported yet.
     pub fn new(name: Name, addr: Name, hall: Name, pool: Name, now_ms: u64) -> Self {
         Self {
             id: hash64(&[name.as_bytes()]),
@@ -110,64 +111,70 @@
             hall,
             pool,
             state: BoxState::Live,
-            report: Report::default(),
+            report: LoadReport::default(),
             in_flight: 0,
             sent_since_report: 0,
             done_since_report: 0,
-            failures_in_row: 0,
+            consecutive_failures: 0,
             ejected_until_ms: 0,
             first_seen_ms: now_ms,
             first_token_ewma_ms: 0,
-            changed_ms: 0,
+            report_changed_ms: 0,
             instance: 0,
         }
     }
 
-    /// Counts a call as sent.
-    pub(crate) fn send(&mut self) {
+    /// Counts a call as in flight.
+    pub(crate) fn start_call(&mut self) {
         self.in_flight += 1;
         self.sent_since_report += 1;
     }
 
-    /// Counts a call as over.
-    pub(crate) fn finish(&mut self, ok: bool, first_token_ms: Option<u64>, now_ms: u64) {
+    /// Records the end of a call. Failures eject the upstream for a while.
+    pub(crate) fn finish_call(
+        &mut self,
+        succeeded: bool,
+        first_token_ms: Option<u64>,
+        now_ms: u64,
+    ) {
         assert!(
             self.in_flight > 0,
-            "invariant: a call that ends was counted"
+            "invariant: a call that finishes was counted as in flight"
         );
         self.in_flight -= 1;
         self.done_since_report += 1;
-        if ok {
-            self.failures_in_row = 0;
+        if succeeded {
+            self.consecutive_failures = 0;
             if let Some(ms) = first_token_ms {
-                let old = self.first_token_ewma_ms;
-                self.first_token_ewma_ms = match old {
+                let average_ms = self.first_token_ewma_ms;
+                self.first_token_ewma_ms = match average_ms {
                     0 => ms,
-                    _ => (old * (1_000 - EWMA_PERMILLE) + ms * EWMA_PERMILLE) / 1_000,
+                    _ => (average_ms * (1_000 - EWMA_PERMILLE) + ms * EWMA_PERMILLE) / 1_000,
                 };
             }
             return;
         }
-        // The first failure may be chance, so it costs little; each further one doubles the time.
-        let time_out_ms = match self.failures_in_row {
-            0 => FIRST_EJECT_MS,
-            n => (EJECT_MS << (n - 1).min(5)).min(EJECT_MAX_MS),
+        // A single failure may be accidental, so the first ejection is short. Further consecutive
+        // failures double the time.
+        let ejection_ms = match self.consecutive_failures {
+            0 => FIRST_EJECTION_MS,
+            n => (REPEATED_EJECTION_MS << (n - 1).min(5)).min(MAX_EJECTION_MS),
         };
-        self.failures_in_row += 1;
-        self.ejected_until_ms = now_ms + time_out_ms;
+        self.consecutive_failures += 1;
+        self.ejected_until_ms = now_ms + ejection_ms;
     }
 
-    /// Takes in a report if it is newer than the one held.
-    pub(crate) fn take_report(&mut self, report: Report) -> bool {
+    /// Applies a report if it is newer than the current one. Returns whether it was.
+    pub(crate) fn apply_report(&mut self, report: LoadReport) -> bool {
         if report.at_ms <= self.report.at_ms {
             return false;
         }
-        let same = Report {
+        let unchanged = LoadReport {
             at_ms: report.at_ms,
             ..self.report.clone()
         };
-        if same != report {
-            self.changed_ms = report.at_ms;
+        if unchanged != report {
+            self.report_changed_ms = report.at_ms;
         }
         self.report = report;
         self.sent_since_report = 0;
@@ -175,33 +182,33 @@
         true
     }
 
-    /// Moving average of the time to the first token; 0 before the first.
+    /// Returns the moving average of the time to the first token, or 0 without samples.
     pub(crate) fn first_token_ms(&self) -> u64 {
         self.first_token_ewma_ms
     }
 
-    /// The id that peers know it by: a hash of its name.
+    /// Returns the id used between peers, a hash of the name.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// When its report last said something else than the one before.
-    pub fn changed_ms(&self) -> u64 {
-        self.changed_ms
+    /// Returns the time of the last report that differed from the one before it.
+    pub fn report_changed_ms(&self) -> u64 {
+        self.report_changed_ms
     }
 
-    /// Calls of this box under way.
+    /// Returns the number of calls in flight from this box.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether it is out for its failures.
+    /// Whether it is excluded because of recent failures.
     pub fn is_ejected(&self, now_ms: u64) -> bool {
         now_ms < self.ejected_until_ms
     }
 
-    /// The report, corrected by what this box sent and got back since.
-    pub(crate) fn corrected(&self) -> u64 {
+    /// Returns the reported load, corrected for calls that this box started and finished since.
+    pub(crate) fn corrected_load(&self) -> u64 {
         let reported = u64::from(self.report.running + self.report.waiting);
         let sent = reported + u64::from(self.sent_since_report);
         sent.saturating_sub(u64::from(self.done_since_report))
@@ -219,35 +226,39 @@
 
     /// Whether this box may send one more call.
     ///
-    /// Its own share is always its to use; beyond it, only what the corrected report shows free.
-    pub(crate) fn has_room(&self, live_boxes: u32, now_ms: u64) -> bool {
+    /// Within its share of the slots, a box may send while the corrected load is below twice the
+    /// slots. Beyond its share, it may send only if the corrected load shows free slots.
+    pub(crate) fn has_capacity(&self, live_boxes: u32, now_ms: u64) -> bool {
         let slots = self.slots(now_ms);
         let share = (slots * HEADROOM_PERMILLE).div_ceil(1_000 * u64::from(live_boxes.max(1)));
-        u64::from(self.in_flight) < share.max(1) && self.corrected() < 2 * slots
-            || self.corrected() + u64::from(self.sent_since_report) < slots
+        u64::from(self.in_flight) < share.max(1) && self.corrected_load() < 2 * slots
+            || self.corrected_load() + u64::from(self.sent_since_report) < slots
     }
 
-    pub(crate) fn offers(&self, want: &Want<'_>) -> bool {
-        let pool_fits = want.pool.is_none_or(|p| p == self.pool.as_ref());
-        let version_fits = want.version.is_none_or(|v| {
+    pub(crate) fn satisfies(&self, call: &CallRequirements<'_>) -> bool {
+        let pool_matches = call.pool.is_none_or(|p| p == self.pool.as_ref());
+        let version_matches = call.version.is_none_or(|v| {
             self.report
                 .versions
                 .names()
                 .iter()
-                .any(|have| have.as_ref() == v)
+                .any(|loaded| loaded.as_ref() == v)
         });
-        pool_fits && version_fits && self.state == BoxState::Live
+        pool_matches && version_matches && self.state == BoxState::Live
     }
 
-    /// Expected wait in thousandths of a full batch; lower is better.
-    pub(crate) fn score(&self, hall: &str, now_ms: u64, slow_ms: u64) -> u64 {
-        let load = self.corrected() * 1_000 / self.slots(now_ms);
-        let far = if self.hall.as_ref() == hall {
+    /// Returns a load score in thousandths of a full batch; lower is better.
+    ///
+    /// `slow_threshold_ms` is the first-token latency above which the upstream is penalized, or 0 to
+    /// apply no such penalty.
+    pub(crate) fn score(&self, hall: &str, now_ms: u64, slow_threshold_ms: u64) -> u64 {
+        let load = self.corrected_load() * 1_000 / self.slots(now_ms);
+        let hall_penalty = if self.hall.as_ref() == hall {
             0
         } else {
-            HALL_PENALTY_MILLI
+            CROSS_HALL_PENALTY_MILLI
         };
-        let is_slow = slow_ms > 0 && self.first_token_ewma_ms > slow_ms;
-        load + far + if is_slow { 1_000 } else { 0 }
+        let is_slow = slow_threshold_ms > 0 && self.first_token_ewma_ms > slow_threshold_ms;
+        load + hall_penalty + if is_slow { 1_000 } else { 0 }
     }
 }
--- a/crates/ivyweir-policy/tests/load.rs
+++ b/crates/ivyweir-policy/tests/load.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 
 use ivyweir_policy::admission::{AdmissionError, Limits, Queue, QueuedRequest};
-use ivyweir_policy::balance::{Balancer, Policy, Report, Shortage, Upstream, Want};
+use ivyweir_policy::balance::{
+    Balancer, CallRequirements, LoadReport, PickError, Policy, Upstream,
+};
 use ivyweir_policy::hash::{hash64, mix};
 use ivyweir_policy::member::{Health, Record, Table, Timing};
 use ivyweir_policy::model_selection::{Candidate, Choice, Constraints, select};
@@ -18,19 +20,19 @@
         let name: Name = format!("u{at}").into();
         let upstream = Upstream::new(name.clone(), "a".into(), "h".into(), "p".into(), 0);
         balancer.upsert(upstream);
-        let report = Report {
+        let report = LoadReport {
             slots: *slots,
             versions: ["m@v1".into()].into_iter().collect(),
             at_ms: 1,
-            ..Report::default()
+            ..LoadReport::default()
         };
-        balancer.report(hash64(&[name.as_bytes()]), report);
+        balancer.apply_report(hash64(&[name.as_bytes()]), report);
     }
     balancer
 }
 
-fn want(random: u64) -> Want<'static> {
-    Want {
+fn want(random: u64) -> CallRequirements<'static> {
+    CallRequirements {
         pool: None,
         version: Some("m@v1"),
         prefix: None,
@@ -53,18 +55,18 @@
         over += 1;
         assert!(over < 10, "a box does not fill upstreams without end");
     }
-    assert_eq!(balancer.pick(&want(0)).err(), Some(Shortage::Full));
-    let other = Want {
+    assert_eq!(balancer.pick(&want(0)).err(), Some(PickError::NoCapacity));
+    let other = CallRequirements {
         version: Some("m@v2"),
         ..want(0)
     };
-    assert_eq!(balancer.pick(&other).err(), Some(Shortage::NoneOffers));
+    assert_eq!(balancer.pick(&other).err(), Some(PickError::NoMatch));
 }
 
 #[test]
 fn one_prefix_stays_with_one_upstream_until_that_is_loaded() {
     let mut balancer = balancer(Policy::Affinity, &[64; 8]);
-    let prefix = Want {
+    let prefix = CallRequirements {
         prefix: Some(42),
         ..want(0)
     };
@@ -72,7 +74,7 @@
     balancer.finish(&first, true, Some(5), 100_000);
     for n in 0..20 {
         let picked = balancer
-            .pick(&Want {
+            .pick(&CallRequirements {
                 random: n,
                 ..prefix
             })
@@ -83,7 +85,7 @@
     let mut counts: HashMap<Name, u32> = HashMap::new();
     for n in 0..80 {
         let picked = balancer
-            .pick(&Want {
+            .pick(&CallRequirements {
                 random: n,
                 ..prefix
             })
@@ -97,7 +99,7 @@
 #[test]
 fn a_leaving_or_failing_upstream_gets_nothing_and_is_probed_back_in() {
     let mut balancer = balancer(Policy::TwoChoices, &[8, 8]);
-    let at = |n, now_ms| Want { now_ms, ..want(n) };
+    let at = |n, now_ms| CallRequirements { now_ms, ..want(n) };
     for now_ms in [100_000, 102_000, 104_000] {
         // Whoever is picked, u0 is made to fail.
         let mut failed = false;
--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -4,7 +4,7 @@
 
 use ivyweir_peer::{BOX_LIST_DOCUMENT, CONFIG_DOCUMENT, pb};
 use ivyweir_policy::Name;
-use ivyweir_policy::balance::Report;
+use ivyweir_policy::balance::LoadReport;
 use ivyweir_policy::member::{Beat, Record};
 use ivyweir_policy::quality::{Count, Counter, Subject};
 
@@ -125,7 +125,7 @@
     node.gate.read_upstreams(|u| {
         let report = &u.report;
         let age_ms = now_ms.saturating_sub(report.at_ms);
-        let is_news = now_ms.saturating_sub(u.changed_ms()) <= news_ms;
+        let is_news = now_ms.saturating_sub(u.report_changed_ms()) <= news_ms;
         let in_turn = (u.id() as usize).wrapping_add(turn).is_multiple_of(TURNS);
         let told = report.at_ms > 0 && age_ms <= max_age_ms && (is_news || in_turn);
         told.then(|| pb::Load {
@@ -157,13 +157,13 @@
         node.learning.learn_set(names.collect());
     }
     let mut unknown = false;
-    let reports: Vec<(u64, Report)> = digest
+    let reports: Vec<(u64, LoadReport)> = digest
         .loads
         .iter()
         .filter_map(|load| {
             let versions = node.learning.version_set(load.versions_id);
             unknown |= versions.is_none();
-            let report = Report {
+            let report = LoadReport {
                 running: load.running,
                 waiting: load.waiting,
                 slots: load.slots,
--- a/crates/ivyweird/src/gate.rs
+++ b/crates/ivyweird/src/gate.rs
@@ -6,7 +6,7 @@
 
 use crossbeam::channel::{Receiver, Sender, bounded};
 use ivyweir_policy::admission::{AdmissionError, Limits, Queue, QueuedRequest, WaitEstimator};
-use ivyweir_policy::balance::{Balancer, Report, Shortage, Upstream, Want};
+use ivyweir_policy::balance::{Balancer, CallRequirements, LoadReport, PickError, Upstream};
 use ivyweir_policy::retry::{RetryBudget, jittered_retry_after_ms};
 use ivyweir_policy::{BoxKind, BoxList, Code, Name, Refusal};
 
@@ -76,8 +76,8 @@
             .unwrap_or(none)
     }
 
-    fn want<'a>(&'a self, hall: &'a str, live_boxes: u32, now_ms: u64) -> Want<'a> {
-        Want {
+    fn want<'a>(&'a self, hall: &'a str, live_boxes: u32, now_ms: u64) -> CallRequirements<'a> {
+        CallRequirements {
             pool: self.pool.as_deref(),
             version: self.version.as_deref(),
             prefix: self.prefix,
@@ -214,8 +214,8 @@
             let want = ask.want(&self.hall, moment.live_boxes, moment.now_ms);
             match inner.balancer.pick(&want) {
                 Ok(upstream) => return Ok(Entry::Go(Box::new(upstream))),
-                Err(Shortage::NoneOffers) => return Err(none_offers(&ask, id)),
-                Err(Shortage::Full) => {}
+                Err(PickError::NoMatch) => return Err(none_offers(&ask, id)),
+                Err(PickError::NoCapacity) => {}
             }
         }
         let ticket = QueuedRequest {
@@ -255,10 +255,10 @@
     }
 
     /// Takes in load reports; those who wait may go on then.
-    pub fn report(&self, reports: impl IntoIterator<Item = (u64, Report)>, moment: Moment) {
+    pub fn report(&self, reports: impl IntoIterator<Item = (u64, LoadReport)>, moment: Moment) {
         let mut inner = lock(&self.inner);
         for (id, report) in reports {
-            inner.balancer.report(id, report);
+            inner.balancer.apply_report(id, report);
         }
         inner.pump(&self.hall, moment);
     }
--- a/crates/ivyweird/src/loads.rs
+++ b/crates/ivyweird/src/loads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crossbeam::channel::{Receiver, Sender, bounded};
-use ivyweir_policy::balance::{Report, Upstream, VersionSet};
+use ivyweir_policy::balance::{LoadReport, Upstream, VersionSet};
 use ivyweir_policy::{BoxState, Name, hash};
 
 use crate::gate::Moment;
@@ -99,7 +99,7 @@
         };
         let versions: VersionSet = load.versions.iter().map(|v| v.as_str().into()).collect();
         node.learning.learn_set(versions.clone());
-        let report = Report {
+        let report = LoadReport {
             running: load.running,
             waiting: load.waiting,
             slots: load.slots,
