--- a/crates/ivyweir-policy/src/carry.rs
+++ b/crates/ivyweir-policy/src/apply.rs
@@ -1,4 +1,4 @@
-//! Carrying out intents: the configuration that each one makes, and the parts that it rests on.
+//! Applies intents to a configuration, and digests the parts of it that an intent depends on.
 
 use serde::Serialize;
 
@@ -8,7 +8,9 @@
     SessionKey, Version, VersionRef, VersionState, Workspace, rollout,
 };
 
-/// A configuration after an intent, with what that changes and does.
+/// Result of applying an intent: the new configuration, with its changes and effects.
+///
+/// Plan ids are digests over the texts of changes and effects, so these texts must stay stable.
 pub(crate) struct Outcome {
     pub(crate) config: Config,
     pub(crate) changes: Vec<Change>,
@@ -16,25 +18,25 @@
 }
 
 impl Outcome {
-    fn change(&mut self, path: impl Into<String>, becomes: impl Into<String>) {
+    fn add_change(&mut self, path: impl Into<String>, becomes: impl Into<String>) {
         self.changes.push(Change {
             path: path.into(),
             becomes: becomes.into(),
         });
     }
 
-    fn effect(&mut self, text: impl Into<String>) {
+    fn add_effect(&mut self, text: impl Into<String>) {
         self.effects.push(text.into());
     }
 }
 
-/// Carries out an intent on a copy of `config`.
+/// Applies an intent to a copy of `config`.
 ///
 /// # Errors
 ///
-/// When the intent does not fit.
-pub(crate) fn carry_out(config: &Config, intent: &Intent) -> Result<Outcome> {
-    let mut out = Outcome {
+/// Returns an error if the intent is not valid for the configuration.
+pub(crate) fn apply_intent(config: &Config, intent: &Intent) -> Result<Outcome> {
+    let mut outcome = Outcome {
         config: config.clone(),
         changes: Vec::new(),
         effects: Vec::new(),
@@ -44,60 +46,73 @@
             name,
             start_ms,
             workspaces,
-        } => create_event(&mut out, name, *start_ms, workspaces)?,
+        } => create_event(&mut outcome, name, *start_ms, workspaces)?,
         Intent::AddVersion {
             at,
             cost_micro_per_ktoken,
             prior_quality,
-        } => add_version(&mut out, at, *cost_micro_per_ktoken, *prior_quality)?,
-        Intent::SetCurrent { at } => set_current(&mut out, at)?,
-        Intent::PutWorkspace { name, workspace } => put_workspace(&mut out, name, workspace)?,
+        } => add_version(&mut outcome, at, *cost_micro_per_ktoken, *prior_quality)?,
+        Intent::SetCurrent { at } => set_current(&mut outcome, at)?,
+        Intent::PutWorkspace { name, workspace } => put_workspace(&mut outcome, name, workspace)?,
         Intent::PutPool { name, pool } => {
-            out.config.pools.insert(name.clone(), pool.clone());
-            out.change(format!("pools.{name}"), json(pool));
+            outcome.config.pools.insert(name.clone(), pool.clone());
+            outcome.add_change(format!("pools.{name}"), to_json(pool));
         }
         Intent::PutOperator { name, operator } => {
-            out.config.operators.insert(name.clone(), operator.clone());
-            out.change(format!("operators.{name}.role"), json(&operator.role));
+            outcome
+                .config
+                .operators
+                .insert(name.clone(), operator.clone());
+            outcome.add_change(format!("operators.{name}.role"), to_json(&operator.role));
         }
-        Intent::Roll { .. } => roll(&mut out, intent)?,
-        Intent::Halt { rollout, reason } => halt(&mut out, rollout, reason)?,
-        Intent::Withdraw { at } => withdraw(&mut out, at)?,
+        Intent::Roll { .. } => start_rollout(&mut outcome, intent)?,
+        Intent::Halt { rollout, reason } => halt_rollout(&mut outcome, rollout, reason)?,
+        Intent::Withdraw { at } => withdraw_version(&mut outcome, at)?,
         Intent::Step {
             rollout,
             share_permille,
             at_ms,
-        } => step(&mut out, rollout, *share_permille, *at_ms)?,
+        } => step_rollout(&mut outcome, rollout, *share_permille, *at_ms)?,
         Intent::RotateSessionKey {
             key,
             drop_before_ms,
-        } => rotate(&mut out, key, *drop_before_ms),
+        } => rotate_session_key(&mut outcome, key, *drop_before_ms),
     }
-    Ok(out)
+    Ok(outcome)
 }
 
-fn create_event(out: &mut Outcome, name: &Name, start_ms: u64, workspaces: &[Name]) -> Result<()> {
-    if out.config.events.contains_key(name) {
+fn create_event(
+    outcome: &mut Outcome,
+    name: &Name,
+    start_ms: u64,
+    workspaces: &[Name],
+) -> Result<()> {
+    if outcome.config.events.contains_key(name) {
         return Err(Error::new(
             ErrorKind::AlreadyExists,
             format!("event {name}"),
         ));
     }
     for workspace in workspaces {
-        require_workspace(&out.config, workspace)?;
+        require_workspace(&outcome.config, workspace)?;
     }
     let event = Event {
         start_ms,
         workspaces: workspaces.to_vec(),
     };
-    out.change(format!("events.{name}"), json(&event));
-    out.config.events.insert(name.clone(), event);
+    outcome.add_change(format!("events.{name}"), to_json(&event));
+    outcome.config.events.insert(name.clone(), event);
     Ok(())
 }
 
-fn add_version(out: &mut Outcome, at: &VersionRef, cost: u64, prior: f64) -> Result<()> {
-    check_unit("prior_quality", prior)?;
-    let model = out
+fn add_version(
+    outcome: &mut Outcome,
+    at: &VersionRef,
+    cost_micro_per_ktoken: u64,
+    prior_quality: f64,
+) -> Result<()> {
+    check_unit_interval("prior_quality", prior_quality)?;
+    let model = outcome
         .config
         .models
         .entry(at.model.clone())
@@ -112,31 +127,35 @@
         ));
     }
     let version = Version {
-        cost_micro_per_ktoken: cost,
-        prior_quality: prior,
+        cost_micro_per_ktoken,
+        prior_quality,
         state: VersionState::Active,
     };
-    let text = json(&version);
+    let text = to_json(&version);
     model.versions.insert(at.version.clone(), version);
-    out.change(format!("models.{}.versions.{}", at.model, at.version), text);
-    out.effect(format!("{at} takes no work until a workspace allows it"));
+    outcome.add_change(format!("models.{}.versions.{}", at.model, at.version), text);
+    outcome.add_effect(format!("{at} takes no work until a workspace allows it"));
     Ok(())
 }
 
-fn set_current(out: &mut Outcome, at: &VersionRef) -> Result<()> {
-    require_active(&out.config, at)?;
-    let model = out.config.models.get_mut(&at.model).expect("version found");
+fn set_current(outcome: &mut Outcome, at: &VersionRef) -> Result<()> {
+    require_active(&outcome.config, at)?;
+    let model = outcome
+        .config
+        .models
+        .get_mut(&at.model)
+        .expect("version found");
     model.current = at.version.clone();
-    out.change(format!("models.{}.current", at.model), at.version.as_ref());
-    out.effect(format!(
+    outcome.add_change(format!("models.{}.current", at.model), at.version.as_ref());
+    outcome.add_effect(format!(
         "new sessions of {} use {at}; open ones keep theirs",
         at.model
     ));
     Ok(())
 }
 
-fn put_workspace(out: &mut Outcome, name: &Name, workspace: &Workspace) -> Result<()> {
-    check_unit("quality_target", workspace.quality_target)?;
+fn put_workspace(outcome: &mut Outcome, name: &Name, workspace: &Workspace) -> Result<()> {
+    check_unit_interval("quality_target", workspace.quality_target)?;
     if workspace.weight == 0 {
         return Err(Error::new(
             ErrorKind::Invalid,
@@ -144,30 +163,31 @@
         ));
     }
     for at in &workspace.allowed {
-        if out.config.version(at).is_none() {
+        if outcome.config.version(at).is_none() {
             return Err(Error::new(ErrorKind::NotFound, format!("version {at}")));
         }
     }
     let allowed: Vec<String> = workspace.allowed.iter().map(|v| v.to_string()).collect();
-    out.change(format!("workspaces.{name}.allowed"), allowed.join(" "));
-    out.change(
+    outcome.add_change(format!("workspaces.{name}.allowed"), allowed.join(" "));
+    outcome.add_change(
         format!("workspaces.{name}.quality_target"),
         workspace.quality_target.to_string(),
     );
-    out.change(
+    outcome.add_change(
         format!("workspaces.{name}.weight"),
         workspace.weight.to_string(),
     );
-    out.effect(format!(
+    outcome.add_effect(format!(
         "requests of {name} run only on the versions listed"
     ));
-    out.config
+    outcome
+        .config
         .workspaces
         .insert(name.clone(), workspace.clone());
     Ok(())
 }
 
-fn roll(out: &mut Outcome, intent: &Intent) -> Result<()> {
+fn start_rollout(outcome: &mut Outcome, intent: &Intent) -> Result<()> {
     let Intent::Roll {
         workspace,
         to,
@@ -178,11 +198,11 @@
         guard,
     } = intent
     else {
-        unreachable!("called for a roll only")
+        unreachable!("called only for `Intent::Roll`")
     };
-    require_active(&out.config, to)?;
-    let owner = require_workspace(&out.config, workspace)?;
-    if !owner.allowed.contains(to) {
+    require_active(&outcome.config, to)?;
+    let workspace_entry = require_workspace(&outcome.config, workspace)?;
+    if !workspace_entry.allowed.contains(to) {
         let text = format!("version {to} for workspace {workspace}, allow it first");
         return Err(Error::new(ErrorKind::Invalid, text));
     }
@@ -192,7 +212,7 @@
         return Err(Error::new(ErrorKind::Invalid, text));
     }
     let id = rollout::id(workspace, &to.model);
-    let from_permille = rollout::share_of(&out.config, &id, &to.version);
+    let from_permille = rollout::share_of(&outcome.config, &id, &to.version);
     let span = target_permille.saturating_sub(from_permille);
     let rollout = Rollout {
         workspace: workspace.clone(),
@@ -207,30 +227,30 @@
         state: RolloutState::Running,
         guard: guard.clone(),
     };
-    out.change(format!("rollouts.{id}"), json(&rollout));
-    out.effect(format!(
+    outcome.add_change(format!("rollouts.{id}"), to_json(&rollout));
+    outcome.add_effect(format!(
         "new sessions of {workspace} move to {to} in steps of {}/1000 every {} ms, to {target_permille}/1000",
         rollout.step_permille, rollout.step_interval_ms
     ));
-    out.effect("open sessions keep their version");
-    out.config.rollouts.insert(id, rollout);
+    outcome.add_effect("open sessions keep their version");
+    outcome.config.rollouts.insert(id, rollout);
     Ok(())
 }
 
-fn halt(out: &mut Outcome, id: &Name, reason: &str) -> Result<()> {
-    let rollout = require_rollout(&mut out.config, id)?;
+fn halt_rollout(outcome: &mut Outcome, id: &Name, reason: &str) -> Result<()> {
+    let rollout = require_rollout(&mut outcome.config, id)?;
     rollout.state = RolloutState::Halted;
     rollout.share_permille = 0;
     let to = VersionRef::new(rollout.model.clone(), rollout.to.clone());
-    out.change(format!("rollouts.{id}.state"), format!("halted ({reason})"));
-    out.effect(format!(
+    outcome.add_change(format!("rollouts.{id}.state"), format!("halted ({reason})"));
+    outcome.add_effect(format!(
         "new sessions no longer use {to}; open ones keep it"
     ));
     Ok(())
 }
 
-fn withdraw(out: &mut Outcome, at: &VersionRef) -> Result<()> {
-    let Some(model) = out.config.models.get_mut(&at.model) else {
+fn withdraw_version(outcome: &mut Outcome, at: &VersionRef) -> Result<()> {
+    let Some(model) = outcome.config.models.get_mut(&at.model) else {
         return Err(Error::new(
             ErrorKind::NotFound,
             format!("model {}", at.model),
@@ -250,24 +270,26 @@
     if let (true, Some(next)) = (was_current, &successor) {
         model.current = next.clone();
     }
-    out.change(
+    outcome.add_change(
         format!("models.{}.versions.{}.state", at.model, at.version),
         "withdrawn",
     );
-    out.effect(format!(
+    outcome.add_effect(format!(
         "{at} receives no new work; its open sessions are refused"
     ));
     match (was_current, successor) {
-        (true, Some(next)) => out.change(format!("models.{}.current", at.model), next.as_ref()),
-        (true, None) => out.effect(format!("{} has no version left", at.model)),
+        (true, Some(next)) => {
+            outcome.add_change(format!("models.{}.current", at.model), next.as_ref())
+        }
+        (true, None) => outcome.add_effect(format!("{} has no version left", at.model)),
         (false, _) => {}
     }
-    halt_all_to(out, at);
+    halt_rollouts_to(outcome, at);
     Ok(())
 }
 
-fn halt_all_to(out: &mut Outcome, at: &VersionRef) {
-    let ids: Vec<Name> = out
+fn halt_rollouts_to(outcome: &mut Outcome, at: &VersionRef) {
+    let ids: Vec<Name> = outcome
         .config
         .rollouts
         .iter()
@@ -275,12 +297,12 @@
         .map(|(id, _)| id.clone())
         .collect();
     for id in ids {
-        halt(out, &id, "version withdrawn").expect("the roll-out was listed");
+        halt_rollout(outcome, &id, "version withdrawn").expect("the roll-out exists");
     }
 }
 
-fn step(out: &mut Outcome, id: &Name, share_permille: u32, at_ms: u64) -> Result<()> {
-    let rollout = require_rollout(&mut out.config, id)?;
+fn step_rollout(outcome: &mut Outcome, id: &Name, share_permille: u32, at_ms: u64) -> Result<()> {
+    let rollout = require_rollout(&mut outcome.config, id)?;
     if rollout.state != RolloutState::Running {
         return Err(Error::new(
             ErrorKind::Invalid,
@@ -293,65 +315,65 @@
         rollout.state = RolloutState::Done;
     }
     let share = rollout.share_permille.to_string();
-    out.change(format!("rollouts.{id}.share_permille"), share);
+    outcome.add_change(format!("rollouts.{id}.share_permille"), share);
     Ok(())
 }
 
-fn rotate(out: &mut Outcome, key: &SessionKey, drop_before_ms: u64) {
-    let keys = &mut out.config.session_keys;
+fn rotate_session_key(outcome: &mut Outcome, key: &SessionKey, drop_before_ms: u64) {
+    let keys = &mut outcome.config.session_keys;
     keys.retain(|k| k.created_ms >= drop_before_ms);
     keys.push(key.clone());
-    out.change("session_keys", format!("signed by {} from now on", key.id));
-    out.effect("open sessions stay valid until they expire");
+    outcome.add_change("session_keys", format!("signed by {} from now on", key.id));
+    outcome.add_effect("open sessions stay valid until they expire");
 }
 
-/// Digest of the parts of `config` that `intent` reads or writes.
+/// Returns a digest of the parts of `config` that `intent` reads or writes.
 pub(crate) fn footprint(config: &Config, intent: &Intent) -> Name {
     let parts = match intent {
-        Intent::CreateEvent { name, .. } => json(&config.events.get(name)),
+        Intent::CreateEvent { name, .. } => to_json(&config.events.get(name)),
         Intent::AddVersion { at, .. } => {
             let version = config.version(at);
-            json(&(config.models.contains_key(&at.model), version))
+            to_json(&(config.models.contains_key(&at.model), version))
         }
-        Intent::SetCurrent { at } => json(&config.models.get(&at.model)),
+        Intent::SetCurrent { at } => to_json(&config.models.get(&at.model)),
         Intent::PutWorkspace { name, workspace } => {
             let versions: Vec<_> = workspace
                 .allowed
                 .iter()
                 .map(|v| config.version(v))
                 .collect();
-            json(&(config.workspaces.get(name), versions))
+            to_json(&(config.workspaces.get(name), versions))
         }
-        Intent::PutPool { name, .. } => json(&config.pools.get(name)),
-        Intent::PutOperator { name, .. } => json(&config.operators.get(name)),
+        Intent::PutPool { name, .. } => to_json(&config.pools.get(name)),
+        Intent::PutOperator { name, .. } => to_json(&config.operators.get(name)),
         Intent::Roll { workspace, to, .. } => {
             let id = rollout::id(workspace, &to.model);
             let allowed = config.workspaces.get(workspace).map(|w| &w.allowed);
-            json(&(
+            to_json(&(
                 config.models.get(&to.model),
                 allowed,
                 config.rollouts.get(&id),
             ))
         }
         Intent::Halt { rollout, .. } | Intent::Step { rollout, .. } => {
-            json(&config.rollouts.get(rollout))
+            to_json(&config.rollouts.get(rollout))
         }
         Intent::Withdraw { at } => {
-            let to_it: Vec<_> = config
+            let rollouts: Vec<_> = config
                 .rollouts
                 .iter()
                 .filter(|(_, r)| r.model == at.model)
                 .map(|(id, r)| (id, &r.to, r.state))
                 .collect();
-            json(&(config.models.get(&at.model), to_it))
+            to_json(&(config.models.get(&at.model), rollouts))
         }
-        Intent::RotateSessionKey { .. } => json(&config.session_keys),
+        Intent::RotateSessionKey { .. } => to_json(&config.session_keys),
     };
     blake3::hash(parts.as_bytes()).to_hex()[..32].into()
 }
 
-fn json<T: Serialize + ?Sized>(value: &T) -> String {
-    serde_json::to_string(value).expect("configuration parts are always valid JSON")
+fn to_json<T: Serialize + ?Sized>(value: &T) -> String {
+    serde_json::to_string(value).expect("configuration parts serialize to JSON")
 }
 
 fn require_workspace<'a>(config: &'a Config, name: &str) -> Result<&'a Workspace> {
@@ -379,7 +401,7 @@
     }
 }
 
-fn check_unit(field: &str, value: f64) -> Result<()> {
+fn check_unit_interval(field: &str, value: f64) -> Result<()> {
     if (0.0..=1.0).contains(&value) {
         Ok(())
     } else {
--- a/crates/ivyweir-policy/src/lib.rs
+++ b/crates/ivyweir-policy/src/lib.rs
@@ -15,8 +15,8 @@
 //! ```
 
 pub mod admission;
+mod apply;
 pub mod balance;
-mod carry;
 pub mod claim;
 mod error;
 pub mod gateway;
--- a/crates/ivyweir-policy/src/plan.rs
+++ b/crates/ivyweir-policy/src/plan.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::carry::{carry_out, footprint};
+use crate::apply::{apply_intent, footprint};
 use crate::{AuditEntry, Config, Error, ErrorKind, Intent, Name, Result, describe};
 
 /// How many applied plan ids the configuration remembers.
@@ -49,7 +49,7 @@
     /// [`ErrorKind::NotFound`], [`ErrorKind::AlreadyExists`] or [`ErrorKind::Invalid`] when the intent
     /// does not fit the configuration.
     pub fn draw(config: &Config, intent: Intent, fleet_key: &[u8]) -> Result<Self> {
-        let outcome = carry_out(config, &intent)?;
+        let outcome = apply_intent(config, &intent)?;
         let mut plan = Self {
             id: "".into(),
             footprint: footprint(config, &intent),
@@ -101,7 +101,7 @@
         if footprint(config, &self.intent) != self.footprint {
             return Err(Error::new(ErrorKind::Conflict, format!("plan {}", self.id)));
         }
-        let outcome = carry_out(config, &self.intent)?;
+        let outcome = apply_intent(config, &self.intent)?;
         let mut next = outcome.config;
         next.generation = config.generation + 1;
         next.applied_plans.push(self.id.clone());
