--- a/crates/ivyweir-policy/src/error.rs
+++ b/crates/ivyweir-policy/src/error.rs
@@ -39,6 +39,7 @@
         }
     }
 
+    /// Returns the category of the error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
--- a/crates/ivyweir-policy/src/plan.rs
+++ b/crates/ivyweir-policy/src/plan.rs
@@ -46,8 +46,8 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::NotFound`], [`ErrorKind::AlreadyExists`] or [`ErrorKind::Invalid`] when the intent
-    /// does not fit the configuration.
+    /// [`ErrorKind::NotFound`], [`ErrorKind::AlreadyExists`] or [`ErrorKind::Invalid`] when the
+    /// intent does not fit the configuration.
     pub fn draw(config: &Config, intent: Intent, fleet_key: &[u8]) -> Result<Self> {
         let outcome = apply_intent(config, &intent)?;
         let mut plan = Self {
