--- a/crates/ivyweir-policy/src/upstream.rs
+++ b/crates/ivyweir-policy/src/upstream.rs
@@ -11,8 +11,8 @@
 /// Ejection time after the second consecutive failure; doubles with each further one.
 const REPEATED_EJECTION_MS: u64 = 1_000;
 const MAX_EJECTION_MS: u64 = 30_000;
-/// Calls in flight that this box may have without regard to reported free slots, in thousandths of
-/// its share.
+/// Calls that one box may have in flight beyond the reported free slots, in thousandths of its equal
+/// share of the slots.
 const HEADROOM_PERMILLE: u64 = 1_250;
 /// Weight of the newest sample in the moving average, in thousandths.
 const EWMA_PERMILLE: u64 = 200;
