--- a/crates/ivyweir-policy/tests/load.rs
+++ b/crates/ivyweir-policy/tests/load.rs
@@ -2,14 +2,16 @@
 
 use std::collections::HashMap;
 
-use ivyweir_policy::admit::{Denied, Limits, Queue, Ticket};
-use ivyweir_policy::balance::{Balancer, Policy, Report, Shortage, Upstream, Want};
-use ivyweir_policy::choose::{Candidate, Choice, Needs, choose};
-use ivyweir_policy::guard::Detector;
+use ivyweir_policy::admission::{AdmissionError, Limits, Queue, QueuedRequest};
+use ivyweir_policy::balance::{
+    Balancer, CallRequirements, LoadReport, PickError, Policy, Upstream,
+};
+use ivyweir_policy::hash::{hash64, mix};
 use ivyweir_policy::member::{Health, Record, Table, Timing};
+use ivyweir_policy::model_selection::{Candidate, Choice, Constraints, select};
 use ivyweir_policy::quality::{BUCKETS, Count};
-use ivyweir_policy::rank::{hash64, mix};
-use ivyweir_policy::retry::{Budget, hint_ms};
+use ivyweir_policy::retry::{RetryBudget, jittered_retry_after_ms};
+use ivyweir_policy::version_health::ChangeDetector;
 use ivyweir_policy::{BoxState, Name};
 
 fn balancer(policy: Policy, slots: &[u32]) -> Balancer {
@@ -18,19 +20,19 @@
         let name: Name = format!("u{at}").into();
         let upstream = Upstream::new(name.clone(), "a".into(), "h".into(), "p".into(), 0);
         balancer.upsert(upstream);
-        let report = Report {
+        let report = LoadReport {
             slots: *slots,
             versions: ["m@v1".into()].into_iter().collect(),
             at_ms: 1,
-            ..Report::default()
+            ..LoadReport::default()
         };
-        balancer.report(hash64(&[name.as_bytes()]), report);
+        balancer.apply_report(hash64(&[name.as_bytes()]), report);
     }
     balancer
 }
 
-fn want(random: u64) -> Want<'static> {
-    Want {
+fn want(random: u64) -> CallRequirements<'static> {
+    CallRequirements {
         pool: None,
         version: Some("m@v1"),
         prefix: None,
@@ -53,18 +55,18 @@
         over += 1;
         assert!(over < 10, "a box does not fill upstreams without end");
     }
-    assert_eq!(balancer.pick(&want(0)).err(), Some(Shortage::Full));
-    let other = Want {
+    assert_eq!(balancer.pick(&want(0)).err(), Some(PickError::NoCapacity));
+    let other = CallRequirements {
         version: Some("m@v2"),
         ..want(0)
     };
-    assert_eq!(balancer.pick(&other).err(), Some(Shortage::NoneOffers));
+    assert_eq!(balancer.pick(&other).err(), Some(PickError::NoMatch));
 }
 
 #[test]
 fn one_prefix_stays_with_one_upstream_until_that_is_loaded() {
     let mut balancer = balancer(Policy::Affinity, &[64; 8]);
-    let prefix = Want {
+    let prefix = CallRequirements {
         prefix: Some(42),
         ..want(0)
     };
@@ -72,7 +74,7 @@
     balancer.finish(&first, true, Some(5), 100_000);
     for n in 0..20 {
         let picked = balancer
-            .pick(&Want {
+            .pick(&CallRequirements {
                 random: n,
                 ..prefix
             })
@@ -83,7 +85,7 @@
     let mut counts: HashMap<Name, u32> = HashMap::new();
     for n in 0..80 {
         let picked = balancer
-            .pick(&Want {
+            .pick(&CallRequirements {
                 random: n,
                 ..prefix
             })
@@ -97,7 +99,7 @@
 #[test]
 fn a_leaving_or_failing_upstream_gets_nothing_and_is_probed_back_in() {
     let mut balancer = balancer(Policy::TwoChoices, &[8, 8]);
-    let at = |n, now_ms| Want { now_ms, ..want(n) };
+    let at = |n, now_ms| CallRequirements { now_ms, ..want(n) };
     for now_ms in [100_000, 102_000, 104_000] {
         // Whoever is picked, u0 is made to fail.
         let mut failed = false;
@@ -139,8 +141,8 @@
     assert_eq!((now.in_flight(), now.is_ejected(100_001)), (0, false));
 }
 
-fn ticket(id: u64, workspace: &str, weight: u32) -> Ticket {
-    Ticket {
+fn ticket(id: u64, workspace: &str, weight: u32) -> QueuedRequest {
+    QueuedRequest {
         id,
         workspace: workspace.into(),
         weight,
@@ -152,23 +154,23 @@
 #[test]
 fn a_flood_does_not_keep_others_from_their_share() {
     let mut queue = Queue::new(Limits {
-        total: 100,
+        max_queued: 100,
         max_wait_ms: 9_000,
     });
     for id in 0..100 {
         queue
-            .offer(ticket(id, "flood", 1), 0, 0)
+            .enqueue(ticket(id, "flood", 1), 0, 0)
             .expect("there is room");
     }
     assert_eq!(
-        queue.offer(ticket(100, "flood", 1), 0, 0),
-        Err(Denied::Full)
+        queue.enqueue(ticket(100, "flood", 1), 0, 0),
+        Err(AdmissionError::QueueFull)
     );
     let mut displaced = 0;
     for id in 101..131 {
         displaced += usize::from(
             queue
-                .offer(ticket(id, "small", 1), 0, 0)
+                .enqueue(ticket(id, "small", 1), 0, 0)
                 .expect("a share")
                 .is_some(),
         );
@@ -177,7 +179,7 @@
     let mut served: HashMap<Name, u32> = HashMap::new();
     for _ in 0..40 {
         let next = queue
-            .next(1, &mut Vec::new(), |_| true)
+            .dequeue(1, &mut Vec::new(), |_| true)
             .expect("somebody waits");
         *served.entry(next.workspace).or_default() += 1;
     }
@@ -187,27 +189,30 @@
 #[test]
 fn weights_priorities_and_deadlines_are_kept() {
     let mut queue = Queue::new(Limits {
-        total: 200,
+        max_queued: 200,
         max_wait_ms: 500,
     });
-    assert_eq!(queue.offer(ticket(0, "a", 1), 0, 501), Err(Denied::TooLate));
+    assert_eq!(
+        queue.enqueue(ticket(0, "a", 1), 0, 501),
+        Err(AdmissionError::WaitTooLong)
+    );
     for id in 1..=60 {
         let workspace = if id % 2 == 0 { "heavy" } else { "light" };
         let weight = if id % 2 == 0 { 3 } else { 1 };
         queue
-            .offer(ticket(id, workspace, weight), 0, 0)
+            .enqueue(ticket(id, workspace, weight), 0, 0)
             .expect("there is room");
     }
-    let urgent = Ticket {
+    let urgent = QueuedRequest {
         priority: 9,
         ..ticket(99, "light", 1)
     };
-    queue.offer(urgent, 0, 0).expect("there is room");
+    queue.enqueue(urgent, 0, 0).expect("there is room");
     let mut order = Vec::new();
     for _ in 0..24 {
         order.push(
             queue
-                .next(1, &mut Vec::new(), |_| true)
+                .dequeue(1, &mut Vec::new(), |_| true)
                 .expect("somebody waits"),
         );
     }
@@ -222,7 +227,7 @@
         .map(|t| t.id);
     assert_eq!(first_light, Some(99));
     let mut expired = Vec::new();
-    assert_eq!(queue.next(10_000, &mut expired, |_| true), None);
+    assert_eq!(queue.dequeue(10_000, &mut expired, |_| true), None);
     assert_eq!((expired.len(), queue.len()), (37, 0));
 }
 
@@ -235,11 +240,11 @@
         }
     }
     Candidate {
-        at: name.parse().expect("a version"),
+        version: name.parse().expect("a version"),
         cost_micro_per_ktoken: cost,
         prior_quality: 0.7,
         buckets,
-        bad: false,
+        is_bad: false,
     }
 }
 
@@ -257,10 +262,10 @@
             ];
             for at in $bad {
                 let at: usize = at;
-                candidates[at].bad = true;
+                candidates[at].is_bad = true;
             }
-            let needs = Needs { quality_target: $target, may_cascade: $may };
-            let choice = choose(&candidates, needs);
+            let needs = Constraints { quality_target: $target, may_cascade: $may };
+            let choice = select(&candidates, needs);
             assert_eq!(choice, Some($choice));
         })*
     };
@@ -272,14 +277,14 @@
     the_strong_for_a_high_target: target 0.9, cascade false, bad [] => Choice::Single(2);
     the_best_where_none_meets: target 0.99, cascade false, bad [] => Choice::Single(2);
     a_cascade_where_it_is_cheaper: target 0.9, cascade true, bad [] =>
-        Choice::Cascade { first: 0, then: 2, accept_from: 4 };
+        Choice::Cascade { first: 0, fallback: 2, min_accepted_bucket: 4 };
     no_bad_one: target 0.5, cascade true, bad [0] => Choice::Single(1);
     a_bad_one_where_there_is_no_other: target 0.5, cascade false, bad [0, 1, 2] => Choice::Single(0);
 }
 
 /// Answers until the detector gives the alarm, when `bad_permille` of them are bad.
 fn alarm_after(bad_permille: u64, seed: u64, most: u64) -> Option<u64> {
-    let mut detector = Detector::default();
+    let mut detector = ChangeDetector::default();
     (0..most).find(|n| {
         let is_bad = mix(seed, *n) % 1_000 < bad_permille;
         detector.observe(is_bad) && detector.is_bad()
@@ -308,12 +313,12 @@
 fn a_version_of_middling_quality_is_not_taken_for_broken() {
     for (expected, bad_permille) in [(0.85, 170), (0.7, 330), (0.55, 500)] {
         let alarms = (0..100).filter(|&seed| {
-            let mut detector = Detector::for_ratings(expected);
+            let mut detector = ChangeDetector::for_ratings(expected);
             (0..1_000).any(|n| detector.observe(mix(seed, n) % 1_000 < bad_permille))
         });
         let alarms = alarms.count();
         assert!(alarms <= 10, "{alarms} in 100 000 ratings at {expected}");
-        let mut broken = Detector::for_ratings(expected);
+        let mut broken = ChangeDetector::for_ratings(expected);
         let noticed = (0..200).find(|n| broken.observe(mix(3, *n) % 1_000 < 950));
         assert!(noticed.is_some_and(|n| n < 40), "{noticed:?} at {expected}");
     }
@@ -321,7 +326,7 @@
 
 #[test]
 fn a_verdict_is_lifted_by_good_answers() {
-    let mut detector = Detector::default();
+    let mut detector = ChangeDetector::default();
     (0..10).for_each(|_| {
         detector.observe(true);
     });
@@ -435,14 +440,16 @@
 
 #[test]
 fn retries_are_a_tenth_of_requests_and_hints_are_spread() {
-    let mut budget = Budget::default();
-    while budget.withdraw() {}
+    let mut budget = RetryBudget::default();
+    while budget.try_withdraw() {}
     let retries = (0..1_000).filter(|_| {
         budget.deposit();
-        budget.withdraw()
+        budget.try_withdraw()
     });
     assert_eq!(retries.count(), 100);
-    let mut hints: Vec<u64> = (0..1_000).map(|seed| hint_ms(1_000, seed)).collect();
+    let mut hints: Vec<u64> = (0..1_000)
+        .map(|seed| jittered_retry_after_ms(1_000, seed))
+        .collect();
     hints.sort_unstable();
     assert!(hints[0] < 550 && hints[999] > 1_450 && (950..1_050).contains(&hints[500]));
 }
--- a/crates/ivyweird/src/gate.rs
+++ b/crates/ivyweird/src/gate.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use crossbeam::channel::{Receiver, Sender, bounded};
-use ivyweir_policy::admit::{Denied, Limits, Pace, Queue, Ticket};
-use ivyweir_policy::balance::{Balancer, Report, Shortage, Upstream, Want};
-use ivyweir_policy::retry::{Budget, hint_ms};
+use ivyweir_policy::admission::{AdmissionError, Limits, Queue, QueuedRequest, WaitEstimator};
+use ivyweir_policy::balance::{Balancer, CallRequirements, LoadReport, PickError, Upstream};
+use ivyweir_policy::retry::{RetryBudget, jittered_retry_after_ms};
 use ivyweir_policy::{BoxKind, BoxList, Code, Name, Refusal};
 
 use crate::settings::Settings;
@@ -25,12 +25,12 @@
     lanes: HashMap<Name, Lane>,
     waiters: HashMap<u64, Waiter>,
     next_id: u64,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 struct Lane {
     queue: Queue,
-    pace: Pace,
+    pace: WaitEstimator,
 }
 
 struct Waiter {
@@ -76,8 +76,8 @@
             .unwrap_or(none)
     }
 
-    fn want<'a>(&'a self, hall: &'a str, live_boxes: u32, now_ms: u64) -> Want<'a> {
-        Want {
+    fn want<'a>(&'a self, hall: &'a str, live_boxes: u32, now_ms: u64) -> CallRequirements<'a> {
+        CallRequirements {
             pool: self.pool.as_deref(),
             version: self.version.as_deref(),
             prefix: self.prefix,
@@ -133,10 +133,10 @@
                 lanes: HashMap::new(),
                 waiters: HashMap::new(),
                 next_id: 0,
-                budget: Budget::default(),
+                budget: RetryBudget::default(),
             }),
             limits: Limits {
-                total: settings.limits.max_queued,
+                max_queued: settings.limits.max_queued,
                 max_wait_ms: settings.limits.max_wait_ms,
             },
             hall: settings.hall.clone(),
@@ -206,7 +206,7 @@
             .entry(lane_name.clone())
             .or_insert_with(|| Lane {
                 queue: Queue::new(limits),
-                pace: Pace::default(),
+                pace: WaitEstimator::default(),
             });
         let ahead = lane.queue.len();
         let wait_ms = lane.pace.wait_ms(ahead);
@@ -214,11 +214,11 @@
             let want = ask.want(&self.hall, moment.live_boxes, moment.now_ms);
             match inner.balancer.pick(&want) {
                 Ok(upstream) => return Ok(Entry::Go(Box::new(upstream))),
-                Err(Shortage::NoneOffers) => return Err(none_offers(&ask, id)),
-                Err(Shortage::Full) => {}
+                Err(PickError::NoMatch) => return Err(none_offers(&ask, id)),
+                Err(PickError::NoCapacity) => {}
             }
         }
-        let ticket = Ticket {
+        let ticket = QueuedRequest {
             id,
             workspace: ask.workspace.clone(),
             weight: ask.weight,
@@ -229,11 +229,13 @@
             .lanes
             .get_mut(&lane_name)
             .expect("the lane was just made");
-        let offered = lane.queue.offer(ticket, moment.now_ms, wait_ms);
+        let offered = lane.queue.enqueue(ticket, moment.now_ms, wait_ms);
         let displaced = match offered {
             Ok(displaced) => displaced,
-            Err(Denied::Full) => return Err(overloaded("the queue is full", wait_ms, id)),
-            Err(Denied::TooLate) => return Err(too_late(wait_ms, id)),
+            Err(AdmissionError::QueueFull) => {
+                return Err(overloaded("the queue is full", wait_ms, id));
+            }
+            Err(AdmissionError::WaitTooLong) => return Err(too_late(wait_ms, id)),
         };
         if let Some(victim) = displaced {
             inner.tell(victim.id, Grant::Displaced);
@@ -253,10 +255,10 @@
     }
 
     /// Takes in load reports; those who wait may go on then.
-    pub fn report(&self, reports: impl IntoIterator<Item = (u64, Report)>, moment: Moment) {
+    pub fn report(&self, reports: impl IntoIterator<Item = (u64, LoadReport)>, moment: Moment) {
         let mut inner = lock(&self.inner);
         for (id, report) in reports {
-            inner.balancer.report(id, report);
+            inner.balancer.apply_report(id, report);
         }
         inner.pump(&self.hall, moment);
     }
@@ -298,7 +300,7 @@
 
     /// Whether the budget has a retry left; takes it.
     pub fn may_retry(&self) -> bool {
-        lock(&self.inner).budget.withdraw()
+        lock(&self.inner).budget.try_withdraw()
     }
 }
 
@@ -334,7 +336,7 @@
         let mut picked = None;
         let waiters = &self.waiters;
         let balancer = &mut self.balancer;
-        let ticket = lane.queue.next(moment.now_ms, &mut expired, |ticket| {
+        let ticket = lane.queue.dequeue(moment.now_ms, &mut expired, |ticket| {
             let Some(waiter) = waiters.get(&ticket.id) else {
                 return true;
             };
@@ -349,7 +351,7 @@
         let Some(ticket) = ticket else {
             return false;
         };
-        lane.pace.served(moment.now_ms);
+        lane.pace.record_dispatch(moment.now_ms);
         if let Some(upstream) = picked {
             self.tell(ticket.id, Grant::Go(Box::new(upstream)));
         }
@@ -366,14 +368,15 @@
         Code::UpstreamFailed
     };
     Refusal::not_run(code, format!("no other upstream offers {what}"))
-        .retry_after(hint_ms(NO_UPSTREAM_HINT_MS, seed))
+        .with_retry_after(jittered_retry_after_ms(NO_UPSTREAM_HINT_MS, seed))
 }
 
 const NO_UPSTREAM_HINT_MS: u64 = 2_000;
 
 #[cold]
 fn overloaded(text: &str, wait_ms: u64, seed: u64) -> Refusal {
-    Refusal::not_run(Code::Overloaded, text).retry_after(hint_ms(wait_ms.max(MIN_BUSY_MS), seed))
+    Refusal::not_run(Code::Overloaded, text)
+        .with_retry_after(jittered_retry_after_ms(wait_ms.max(MIN_BUSY_MS), seed))
 }
 
 const MIN_BUSY_MS: u64 = 500;
@@ -384,5 +387,5 @@
         Code::DeadlineUnmet,
         format!("the wait would be {wait_ms} ms"),
     )
-    .retry_after(hint_ms(wait_ms, seed))
+    .with_retry_after(jittered_retry_after_ms(wait_ms, seed))
 }
