--- a/crates/ivyweir-policy/src/value.rs
+++ b/crates/ivyweir-policy/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: one object, one order of generations.
+//! Configuration types. The configuration is one stored object, and its generation number orders
+//! all versions of it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,11 +13,11 @@
 /// A shared immutable name.
 pub type Name = Arc<str>;
 
-/// The whole configuration, as the Object API keeps it.
+/// The configuration, as stored in the Object API.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Grows by one with each accepted change and never falls.
+    /// Incremented by one for each accepted change; never decreases.
     pub generation: u64,
     /// Models by name.
     pub models: BTreeMap<Name, Model>,
@@ -30,13 +31,13 @@
     pub pools: BTreeMap<Name, Pool>,
     /// Operators by name.
     pub operators: BTreeMap<Name, Operator>,
-    /// Keys that sign session tokens; the last one signs, all verify.
+    /// Session token keys. New tokens are signed with the last key; tokens are verified against all.
     pub session_keys: Vec<SessionKey>,
-    /// Ids of the plans applied last, oldest first.
+    /// Ids of the most recently applied plans, oldest first.
     pub applied_plans: Vec<Name>,
     /// The newest audit entries, oldest first; older ones are in archive objects.
     pub audit: Vec<AuditEntry>,
-    /// How many audit entries have moved to archive objects.
+    /// Number of audit entries moved to archive objects.
     pub archived_entries: u64,
 }
 
@@ -46,7 +47,7 @@
 pub struct Model {
     /// Versions by name.
     pub versions: BTreeMap<Name, Version>,
-    /// The version that serves where no roll-out says otherwise.
+    /// The default version, used where no roll-out assigns another one.
     pub current: Name,
 }
 
@@ -54,11 +55,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// Price of one thousand tokens, in millionths of the billing unit.
+    /// Price per thousand tokens, in millionths of the billing unit.
     pub cost_micro_per_ktoken: u64,
-    /// Quality expected before any rating is in, 0 to 1.
+    /// Expected quality before any rating has been received, 0 to 1.
     pub prior_quality: f64,
-    /// Whether it may be used.
+    /// Whether the version may be used.
     pub state: VersionState,
 }
 
@@ -66,29 +67,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionState {
-    /// Takes new work.
+    /// Receives new requests.
     Active,
-    /// Takes no new work.
+    /// Receives no new requests.
     Withdrawn,
 }
 
-/// A customer of the system.
+/// A tenant of the system.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
     /// Hex hash of the caller key.
     pub key_hash: Name,
-    /// Mean quality that answers must reach, 0 to 1.
+    /// Target for the mean quality of answers, 0 to 1.
     pub quality_target: f64,
-    /// Share of capacity relative to other workspaces.
+    /// Relative share of capacity, compared with the weights of other workspaces.
     pub weight: u32,
     /// Versions this workspace may use.
     pub allowed: Vec<VersionRef>,
-    /// Pools of plain services this workspace may call.
+    /// Pools of non-model services this workspace may call.
     pub services: Vec<Name>,
 }
 
-/// A version with its model, written `model@version`.
+/// A reference to a model version, written `model@version`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct VersionRef {
     /// The model's name.
@@ -97,63 +98,63 @@
     pub version: Name,
 }
 
-/// Something with a fixed start.
+/// A scheduled event with a fixed start time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// Start, in milliseconds since the epoch.
+    /// Start time, in milliseconds since the epoch.
     pub start_ms: u64,
-    /// Workspaces that take part.
+    /// Participating workspaces.
     pub workspaces: Vec<Name>,
 }
 
-/// A move of a workspace's new sessions from one version to another.
+/// A gradual move of a workspace's new sessions from one version to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// The workspace whose new sessions move.
+    /// The workspace whose new sessions are moved.
     pub workspace: Name,
     /// The model.
     pub model: Name,
-    /// The version that is rolled out.
+    /// The version being rolled out.
     pub to: Name,
-    /// Share in force now, in thousandths.
+    /// Current share of new sessions, in thousandths.
     pub share_permille: u32,
-    /// Share at the end, in thousandths.
+    /// Final share of new sessions, in thousandths.
     pub target_permille: u32,
     /// Size of one step, in thousandths.
     pub step_permille: u32,
-    /// Time between steps.
+    /// Time between two steps.
     pub step_interval_ms: u64,
-    /// When the last step was taken, in milliseconds since the epoch.
+    /// Time of the last step, in milliseconds since the epoch.
     pub stepped_ms: u64,
-    /// The target share must be reached by then, in milliseconds since the epoch.
+    /// Deadline for reaching the target share, in milliseconds since the epoch.
     pub until_ms: u64,
-    /// Where it stands.
+    /// State of the roll-out.
     pub state: RolloutState,
-    /// What halts it without an operator.
+    /// Conditions that halt the roll-out automatically.
     pub guard: Guard,
 }
 
-/// Where a roll-out stands.
+/// State of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
-    /// Steps are taken.
+    /// The share is still being increased.
     Running,
-    /// The target share is reached.
+    /// The target share has been reached.
     Done,
-    /// The guard or an operator stopped it; new work goes to the old version.
+    /// Stopped by the guard or an operator; new work goes to the old version.
     Halted,
 }
 
-/// Floors under which a roll-out halts by itself.
+/// Limits that halt a roll-out automatically when they are violated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Guard {
-    /// Lowest mean rating, 0 to 1.
+    /// Lowest permitted mean rating, 0 to 1.
     pub quality_floor: f64,
-    /// Highest share of failed answers, in thousandths.
+    /// Highest permitted share of failed answers, in thousandths.
     pub failed_permille: u32,
 }
 
@@ -170,39 +171,39 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// What its upstreams are.
+    /// Kind of its upstreams.
     pub kind: PoolKind,
-    /// Whether its upstreams refuse orders of an older generation.
+    /// Whether its upstreams reject orders of an older generation.
     pub checks_fence: bool,
 }
 
-/// What the upstreams of a pool are.
+/// Kind of the upstreams in a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolKind {
     /// Model engines.
     Engine,
-    /// Plain services.
+    /// Non-model services.
     Service,
 }
 
-/// Somebody who may operate the system.
+/// A person with access to the operator API.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
     /// Hex hash of the operator key.
     pub key_hash: Name,
-    /// What they may do.
+    /// The operator's permissions.
     pub role: Role,
 }
 
-/// What an operator may do; each role includes the ones before it.
+/// Operator permissions; each role includes the permissions of the roles before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// May look.
+    /// Read-only access.
     Viewer,
-    /// May plan and confirm.
+    /// May also create and confirm plans.
     Editor,
 }
 
@@ -210,37 +211,37 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SessionKey {
-    /// Its id, carried by tokens.
+    /// Key id, which the tokens contain.
     pub id: Name,
-    /// Hex of 32 secret bytes.
+    /// The 32 secret bytes, in hex.
     pub secret_hex: Name,
-    /// When it was made, in milliseconds since the epoch.
+    /// Creation time, in milliseconds since the epoch.
     pub created_ms: u64,
 }
 
-/// One accepted change.
+/// One accepted configuration change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AuditEntry {
-    /// Who confirmed it.
+    /// The operator who confirmed the plan.
     pub operator: Name,
-    /// When, in milliseconds since the epoch.
+    /// Time of the change, in milliseconds since the epoch.
     pub at_ms: u64,
-    /// The plan's id.
+    /// Id of the applied plan.
     pub plan_id: Name,
-    /// The generation it made.
+    /// Generation of the configuration after the change.
     pub generation: u64,
-    /// What was asked for.
+    /// Summary of the intent.
     pub intent: String,
-    /// What changed, one line each.
+    /// The changes, one line each.
     pub changes: Vec<String>,
 }
 
-/// The platform's list of machines; it lags.
+/// The platform's list of machines. It can lag behind the real state of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BoxList {
-    /// Grows with every change of the list.
+    /// Incremented with each change of the list.
     pub generation: u64,
     /// The machines.
     pub boxes: Vec<BoxEntry>,
@@ -252,15 +253,15 @@
 pub struct BoxEntry {
     /// Its name.
     pub name: Name,
-    /// What runs on it.
+    /// What runs on the machine.
     pub kind: BoxKind,
-    /// IP address and port: of the peer protocol for an entry box, of HTTP for an upstream.
+    /// IP address and port of the peer protocol for an entry box, or of HTTP for an upstream.
     pub addr: Name,
     /// Its data hall.
     pub hall: Name,
     /// The pool of an upstream; empty for an entry box.
     pub pool: Name,
-    /// Whether it stays.
+    /// Whether the machine is in service or leaving.
     pub state: BoxState,
 }
 
@@ -268,44 +269,45 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BoxKind {
-    /// A process of ivyweir.
+    /// An ivyweir process.
     Entry,
-    /// A back end.
+    /// A back-end server.
     Upstream,
 }
 
-/// Whether a machine stays.
+/// Whether a machine is in service or leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BoxState {
     /// In service.
     Live,
-    /// About to go: no new work.
+    /// About to be removed; receives no new work.
     Leaving,
 }
 
 impl Config {
-    /// Reads a configuration from JSON bytes.
+    /// Deserializes a configuration from JSON.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Invalid`] with the place where the JSON is not a configuration.
+    /// [`ErrorKind::Invalid`], with the position in the input, if the JSON is malformed or does not
+    /// match the schema.
     pub fn from_slice(bytes: &[u8]) -> Result<Self> {
         serde_json::from_slice(bytes)
             .map_err(|e| Error::new(ErrorKind::Invalid, format!("configuration: {e}")))
     }
 
-    /// The JSON bytes of this configuration.
+    /// Serializes the configuration to JSON.
     pub fn to_vec(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a configuration is always valid JSON")
     }
 
-    /// The version behind a reference, whatever its state.
+    /// Looks up a version, whatever its state.
     pub fn version(&self, at: &VersionRef) -> Option<&Version> {
         self.models.get(&at.model)?.versions.get(&at.version)
     }
 
-    /// Whether `workspace` may send new work to `at` now.
+    /// Whether `workspace` may send new requests to `at`: the version must be allowed and active.
     pub fn permits(&self, workspace: &str, at: &VersionRef) -> bool {
         let allowed = self
             .workspaces
@@ -335,13 +337,13 @@
     }
 }
 
-/// Compares in constant time, as `blake3::Hash` does.
+/// Compares hashes in constant time; `blake3::Hash` implements equality that way.
 fn hash_matches(stored_hex: &str, given: &blake3::Hash) -> bool {
     blake3::Hash::from_hex(stored_hex).is_ok_and(|stored| stored == *given)
 }
 
 impl VersionRef {
-    /// A reference from its two names.
+    /// Creates a reference from a model name and a version name.
     pub fn new(model: impl Into<Name>, version: impl Into<Name>) -> Self {
         Self {
             model: model.into(),
--- a/crates/ivyweir-policy/src/intent.rs
+++ b/crates/ivyweir-policy/src/intent.rs
@@ -1,55 +1,55 @@
-//! Intents: what an operator, or the system itself, asks for.
+//! Intents: configuration changes requested by an operator or by the system.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Guard, Name, Operator, Pool, SessionKey, VersionRef, Workspace};
 
-/// What an operator, or the system itself, asks for.
+/// A configuration change requested by an operator or by the system.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Intent {
     /// Adds an event.
     CreateEvent {
-        /// The event's name.
+        /// Name of the event.
         name: Name,
-        /// Start, in milliseconds since the epoch.
+        /// Start time, in milliseconds since the epoch.
         start_ms: u64,
-        /// Workspaces that take part.
+        /// Participating workspaces.
         workspaces: Vec<Name>,
     },
-    /// Adds a version, and its model if that is new.
+    /// Adds a version, and its model if the model does not exist yet.
     AddVersion {
-        /// Which version.
+        /// The version to add.
         at: VersionRef,
-        /// Price of one thousand tokens, in millionths.
+        /// Price per thousand tokens, in millionths of the billing unit.
         cost_micro_per_ktoken: u64,
-        /// Quality expected before any rating is in.
+        /// Expected quality before any rating has been received, 0 to 1.
         prior_quality: f64,
     },
-    /// Makes a version the one that serves where no roll-out says otherwise.
+    /// Makes a version the default of its model, used where no roll-out assigns another one.
     SetCurrent {
-        /// Which version.
+        /// The new default version.
         at: VersionRef,
     },
     /// Adds or replaces a workspace.
     PutWorkspace {
-        /// Its name.
+        /// Name of the workspace.
         name: Name,
-        /// The whole workspace.
+        /// The complete new value.
         workspace: Workspace,
     },
     /// Adds or replaces a pool of upstreams.
     PutPool {
-        /// Its name.
+        /// Name of the pool.
         name: Name,
-        /// The whole pool.
+        /// The complete new value.
         pool: Pool,
     },
     /// Adds or replaces an operator.
     PutOperator {
-        /// Their name.
+        /// Name of the operator.
         name: Name,
-        /// The whole operator.
+        /// The complete new value.
         operator: Operator,
     },
     /// Rolls a version out to a share of a workspace's new sessions.
@@ -58,49 +58,49 @@
         workspace: Name,
         /// The version to roll out.
         to: VersionRef,
-        /// Share to reach, in thousandths.
+        /// Target share of new sessions, in thousandths.
         target_permille: u32,
-        /// When the roll-out starts, in milliseconds since the epoch.
+        /// Start time, in milliseconds since the epoch.
         start_ms: u64,
-        /// When the share must be reached, in milliseconds since the epoch.
+        /// Deadline for reaching the target share, in milliseconds since the epoch.
         until_ms: u64,
         /// Number of equal steps.
         steps: u32,
-        /// What halts it.
+        /// Conditions that halt the roll-out automatically.
         guard: Guard,
     },
     /// Stops a roll-out; new work goes to the old version.
     Halt {
-        /// The roll-out's id.
+        /// Id of the roll-out.
         rollout: Name,
-        /// Why, for the audit.
+        /// Reason, recorded in the audit log.
         reason: String,
     },
-    /// Takes a version out of use at once.
+    /// Takes a version out of use immediately.
     Withdraw {
-        /// Which version.
+        /// The version to withdraw.
         at: VersionRef,
     },
-    /// Takes the next step of a roll-out.
+    /// Advances a roll-out by one step.
     Step {
-        /// The roll-out's id.
+        /// Id of the roll-out.
         rollout: Name,
-        /// The share from now on, in thousandths.
+        /// The new share, in thousandths.
         share_permille: u32,
-        /// When, in milliseconds since the epoch.
+        /// Time of the step, in milliseconds since the epoch.
         at_ms: u64,
     },
-    /// Adds a key that signs session tokens from now on.
+    /// Adds a session token key, with which new tokens are signed from now on.
     RotateSessionKey {
-        /// The key.
+        /// The new key.
         key: SessionKey,
-        /// Keys made before this are dropped, in milliseconds since the epoch.
+        /// Keys created before this time are removed, in milliseconds since the epoch.
         drop_before_ms: u64,
     },
 }
 
-/// An intent in a line, without secrets.
-pub fn describe(intent: &Intent) -> String {
+/// Returns a one-line summary of an intent for the audit log and the command line, without secrets.
+pub fn describe_intent(intent: &Intent) -> String {
     match intent {
         Intent::CreateEvent { name, start_ms, .. } => format!("create event {name} at {start_ms}"),
         Intent::AddVersion { at, .. } => format!("add version {at}"),
--- a/crates/ivyweir-policy/src/lib.rs
+++ b/crates/ivyweir-policy/src/lib.rs
@@ -1,14 +1,14 @@
-//! The decisions of ivyweir, free of I/O.
+//! Decision logic of ivyweir, without I/O.
 //!
-//! Every function here is given what it needs, the time included, and returns a value. The daemon
-//! calls them unchanged; tests explore them exhaustively.
+//! All inputs, including the current time, are passed as arguments, and results are returned as
+//! values. The daemon calls the same functions that the tests exercise exhaustively.
 //!
 //! ```
 //! use ivyweir_policy::{Config, Intent, Plan};
 //!
 //! let config = Config::default();
 //! let intent = Intent::CreateEvent { name: "drop".into(), start_ms: 1_000, workspaces: vec![] };
-//! let plan = Plan::draw(&config, intent, b"fleet key").unwrap();
+//! let plan = Plan::create(&config, intent, b"fleet key").unwrap();
 //! let next = plan.apply(&config, "alice", 5).unwrap();
 //! assert_eq!(next.generation, 1);
 //! assert_eq!(next.audit.len(), 1);
@@ -19,6 +19,7 @@
 mod carry;
 pub mod choose;
 pub mod claim;
+mod config;
 mod error;
 pub mod gateway;
 pub mod guard;
@@ -34,14 +35,13 @@
 pub mod sight;
 pub mod token;
 mod upstream;
-mod value;
 
-pub use error::{Error, ErrorKind, Result};
-pub use intent::{Intent, describe};
-pub use plan::{APPLIED_PLANS_KEPT, AUDIT_KEPT, Change, Plan, split_audit};
-pub use refusal::{Code, Refusal, Run};
-pub use value::{
+pub use config::{
     AuditEntry, BoxEntry, BoxKind, BoxList, BoxState, Config, Event, Guard, Model, Name, Operator,
     Pool, PoolKind, Role, Rollout, RolloutState, SessionKey, Version, VersionRef, VersionState,
     Workspace,
 };
+pub use error::{Error, ErrorKind, Result};
+pub use intent::{Intent, describe_intent};
+pub use plan::{Change, MAX_APPLIED_PLANS, MAX_AUDIT_ENTRIES, Plan, take_excess_audit_entries};
+pub use refusal::{Code, Refusal, Run};
--- a/crates/ivyweir-policy/src/plan.rs
+++ b/crates/ivyweir-policy/src/plan.rs
@@ -1,54 +1,55 @@
-//! Plans: what the system will do about an intent once an operator confirms.
+//! Plans: the effect of an intent on the configuration, computed and signed for confirmation by an
+//! operator.
 
 use serde::{Deserialize, Serialize};
 
 use crate::carry::{carry_out, footprint};
-use crate::{AuditEntry, Config, Error, ErrorKind, Intent, Name, Result, describe};
+use crate::{AuditEntry, Config, Error, ErrorKind, Intent, Name, Result, describe_intent};
 
-/// How many applied plan ids the configuration remembers.
-pub const APPLIED_PLANS_KEPT: usize = 4_096;
+/// Maximum number of applied plan ids kept in the configuration.
+pub const MAX_APPLIED_PLANS: usize = 4_096;
 
-/// How many audit entries stay in the configuration before the oldest are archived.
-pub const AUDIT_KEPT: usize = 256;
+/// Maximum number of audit entries in the configuration; beyond it the oldest are archived.
+pub const MAX_AUDIT_ENTRIES: usize = 256;
 
-/// One line of a plan's difference.
+/// One changed value in a plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Where in the configuration.
+    /// Path of the value in the configuration.
     pub path: String,
-    /// What it becomes.
+    /// The new value.
     pub becomes: String,
 }
 
-/// What the system will do once an operator confirms.
+/// A signed configuration change that takes effect once an operator confirms it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Identifies the plan; a digest of all that it says.
+    /// Plan id, a digest of the plan's content.
     pub id: Name,
-    /// What was asked for.
+    /// The requested change.
     pub intent: Intent,
-    /// The generation it was drawn on.
+    /// Generation of the configuration that the plan was computed from.
     pub base_generation: u64,
-    /// Digest of the parts of the configuration that it rests on.
+    /// Digest of the configuration parts that the intent reads or writes.
     pub footprint: Name,
-    /// The difference.
+    /// Differences from the base configuration.
     pub changes: Vec<Change>,
-    /// What it does to live traffic.
+    /// Effects on live traffic.
     pub effects: Vec<String>,
-    /// Proof that a box of this fleet drew it.
+    /// Signature with the fleet key; shows that a box of this fleet created the plan.
     pub signature: Name,
 }
 
 impl Plan {
-    /// Draws a plan for `intent` on `config` and signs it.
+    /// Computes the plan for applying `intent` to `config` and signs it.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::NotFound`], [`ErrorKind::Exists`] or [`ErrorKind::Invalid`] when the intent
-    /// does not fit the configuration.
-    pub fn draw(config: &Config, intent: Intent, fleet_key: &[u8]) -> Result<Self> {
+    /// cannot be applied to the configuration.
+    pub fn create(config: &Config, intent: Intent, fleet_key: &[u8]) -> Result<Self> {
         let outcome = carry_out(config, &intent)?;
         let mut plan = Self {
             id: "".into(),
@@ -64,11 +65,11 @@
         Ok(plan)
     }
 
-    /// Checks that a box of this fleet drew the plan and that nobody altered it.
+    /// Verifies the signature: a box of this fleet created the plan and it has not been altered.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Forged`].
+    /// [`ErrorKind::Forged`] when the signature does not match.
     pub fn verify(&self, fleet_key: &[u8]) -> Result<()> {
         let mut unsigned = self.clone();
         unsigned.signature = "".into();
@@ -84,16 +85,17 @@
         }
     }
 
-    /// Whether `config` shows this plan as applied.
+    /// Whether `config` lists this plan as applied.
     pub fn is_applied(&self, config: &Config) -> bool {
         config.applied_plans.contains(&self.id)
     }
 
-    /// The configuration after this plan, with its audit entry in it.
+    /// Returns the configuration with this plan applied, including its audit entry.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Moved`] when what the plan rests on has changed since it was drawn.
+    /// [`ErrorKind::Moved`] when the configuration parts that the plan depends on have changed since
+    /// it was created.
     pub fn apply(&self, config: &Config, operator: &str, now_ms: u64) -> Result<Config> {
         if footprint(config, &self.intent) != self.footprint {
             return Err(Error::new(ErrorKind::Moved, format!("plan {}", self.id)));
@@ -102,14 +104,14 @@
         let mut next = outcome.config;
         next.generation = config.generation + 1;
         next.applied_plans.push(self.id.clone());
-        let surplus = next.applied_plans.len().saturating_sub(APPLIED_PLANS_KEPT);
-        next.applied_plans.drain(..surplus);
+        let excess = next.applied_plans.len().saturating_sub(MAX_APPLIED_PLANS);
+        next.applied_plans.drain(..excess);
         next.audit.push(AuditEntry {
             operator: operator.into(),
             at_ms: now_ms,
             plan_id: self.id.clone(),
             generation: next.generation,
-            intent: describe(&self.intent),
+            intent: describe_intent(&self.intent),
             changes: outcome.changes.iter().map(Change::to_string).collect(),
         });
         Ok(next)
@@ -130,14 +132,16 @@
     }
 }
 
-/// Moves the oldest audit entries out of `config` when there are too many.
+/// Removes and returns the oldest audit entries when `config` holds more than
+/// [`MAX_AUDIT_ENTRIES`]; half that number remain.
 ///
-/// The caller writes them to an archive object before it writes the configuration.
-pub fn split_audit(config: &mut Config) -> Vec<AuditEntry> {
-    if config.audit.len() <= AUDIT_KEPT {
+/// The caller must write the returned entries to an archive object before it writes the
+/// configuration.
+pub fn take_excess_audit_entries(config: &mut Config) -> Vec<AuditEntry> {
+    if config.audit.len() <= MAX_AUDIT_ENTRIES {
         return Vec::new();
     }
-    let surplus = config.audit.len() - AUDIT_KEPT / 2;
-    config.archived_entries += surplus as u64;
-    config.audit.drain(..surplus).collect()
+    let excess = config.audit.len() - MAX_AUDIT_ENTRIES / 2;
+    config.archived_entries += excess as u64;
+    config.audit.drain(..excess).collect()
 }
--- a/crates/ivyweir-policy/tests/plans.rs
+++ b/crates/ivyweir-policy/tests/plans.rs
@@ -1,8 +1,8 @@
 //! Plans: races, forgery, rebasing, and what withdrawing and rolling do.
 
 use ivyweir_policy::{
-    AUDIT_KEPT, Config, ErrorKind, Guard, Intent, Name, Plan, RolloutState, VersionRef, Workspace,
-    rollout, split_audit,
+    Config, ErrorKind, Guard, Intent, MAX_AUDIT_ENTRIES, Name, Plan, RolloutState, VersionRef,
+    Workspace, rollout, take_excess_audit_entries,
 };
 use proptest::prelude::*;
 
@@ -55,7 +55,7 @@
 }
 
 fn apply(config: &Config, intent: Intent) -> Config {
-    let plan = Plan::draw(config, intent, KEY).expect("the intent fits");
+    let plan = Plan::create(config, intent, KEY).expect("the intent fits");
     plan.apply(config, "ann", 7).expect("nothing moved")
 }
 
@@ -69,7 +69,7 @@
     ($($name:ident: $planned:expr, $meanwhile:expr => $moved:literal;)*) => {
         $(#[test] fn $name() {
             let config = base();
-            let plan = Plan::draw(&config, $planned, KEY).expect("the intent fits");
+            let plan = Plan::create(&config, $planned, KEY).expect("the intent fits");
             let moved_on = apply(&config, $meanwhile);
             let outcome = plan.apply(&moved_on, "ben", 9);
             let moved = outcome.as_ref().is_err_and(|e| e.kind() == ErrorKind::Moved);
@@ -94,7 +94,7 @@
 macro_rules! unfit {
     ($($name:ident: $intent:expr => $kind:ident;)*) => {
         $(#[test] fn $name() {
-            let error = Plan::draw(&base(), $intent, KEY).expect_err("the intent does not fit");
+            let error = Plan::create(&base(), $intent, KEY).expect_err("the intent does not fit");
             assert_eq!(error.kind(), ErrorKind::$kind, "{error}");
         })*
     };
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_plan_that_was_altered_or_is_foreign_is_forged() {
-    let plan = Plan::draw(&base(), event("drop"), KEY).expect("the intent fits");
+    let plan = Plan::create(&base(), event("drop"), KEY).expect("the intent fits");
     plan.verify(KEY).expect("it is genuine");
     let mut altered = plan.clone();
     altered.intent = event("other");
@@ -195,11 +195,11 @@
 fn old_audit_entries_are_split_off_and_none_is_lost() {
     let mut config = base();
     let mut archived = Vec::new();
-    for n in 0..AUDIT_KEPT * 2 {
+    for n in 0..MAX_AUDIT_ENTRIES * 2 {
         config = apply(&config, event(&format!("e{n}")));
-        archived.extend(split_audit(&mut config));
+        archived.extend(take_excess_audit_entries(&mut config));
     }
-    assert!(config.audit.len() <= AUDIT_KEPT);
+    assert!(config.audit.len() <= MAX_AUDIT_ENTRIES);
     assert_eq!(config.archived_entries, archived.len() as u64);
     archived.extend(config.audit);
     let generations: Vec<u64> = archived.iter().map(|e| e.generation).collect();
@@ -230,7 +230,7 @@
                 4 => Intent::Withdraw { at: at("m@v2") },
                 _ => Intent::SetCurrent { at: at("m@v1") },
             };
-            if let Ok(plan) = Plan::draw(&config, intent, KEY) {
+            if let Ok(plan) = Plan::create(&config, intent, KEY) {
                 config = plan.apply(&config, "ann", 1).expect("nothing moved");
             }
         }
--- a/crates/ivyweir/src/show.rs
+++ b/crates/ivyweir/src/show.rs
@@ -4,7 +4,9 @@
 
 use ivyweir_operator::{ConfirmReply, PlanCheck, Status};
 use ivyweir_policy::ledger::Bill;
-use ivyweir_policy::{AuditEntry, Event, Model, Name, Plan, VersionState, Workspace, describe};
+use ivyweir_policy::{
+    AuditEntry, Event, Model, Name, Plan, VersionState, Workspace, describe_intent,
+};
 
 use crate::time;
 
@@ -175,7 +177,7 @@
         "plan {} on generation {}: {}\nchanges:\n",
         plan.id,
         plan.base_generation,
-        describe(&plan.intent)
+        describe_intent(&plan.intent)
     );
     for change in &plan.changes {
         text += &format!("  {change}\n");
--- a/crates/ivyweird/src/confirm.rs
+++ b/crates/ivyweird/src/confirm.rs
@@ -2,7 +2,7 @@
 
 use ivyweir_operator::ConfirmReply;
 use ivyweir_platform::{ErrorKind, Expect, PutOutcome};
-use ivyweir_policy::{Config, Plan, sight, split_audit};
+use ivyweir_policy::{Config, Plan, sight, take_excess_audit_entries};
 
 use crate::clock::Clock;
 use crate::config::Adoption;
@@ -68,7 +68,7 @@
         Ok(next) => next,
         Err(_) => return Round::Done(moved(node, plan, &base)),
     };
-    let surplus = split_audit(&mut next);
+    let surplus = take_excess_audit_entries(&mut next);
     if !surplus.is_empty()
         && let Err(e) = audit::archive(node, &next, &surplus)
     {
@@ -123,7 +123,7 @@
 }
 
 fn moved(node: &Node, plan: &Plan, base: &Config) -> ConfirmReply {
-    match Plan::draw(base, plan.intent.clone(), node.settings.fleet_key()) {
+    match Plan::create(base, plan.intent.clone(), node.settings.fleet_key()) {
         Ok(fresh) => ConfirmReply::Moved {
             fresh: Box::new(fresh),
         },
@@ -135,7 +135,7 @@
 
 /// Applies a change of the system's own, such as a roll-out's step. Returns whether it was accepted.
 pub fn apply_own(node: &Node, current: &Current, intent: ivyweir_policy::Intent) -> bool {
-    let Ok(plan) = Plan::draw(&current.config, intent, node.settings.fleet_key()) else {
+    let Ok(plan) = Plan::create(&current.config, intent, node.settings.fleet_key()) else {
         return false;
     };
     let name = format!("system/{}", node.me.box_name);
--- a/crates/ivyweird/src/operator_api.rs
+++ b/crates/ivyweird/src/operator_api.rs
@@ -144,7 +144,7 @@
             return Err(Refused::new(400, "kind: this intent is the system's own"));
         }
         let current = self.node.current();
-        let plan = Plan::draw(&current.config, intent, self.node.settings.fleet_key())?;
+        let plan = Plan::create(&current.config, intent, self.node.settings.fleet_key())?;
         Ok(json(200, &plan))
     }
 
