--- a/crates/ivyweir-operator/src/client.rs
+++ b/crates/ivyweir-operator/src/client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use attohttpc::{Method, ProxySettings, RequestBuilder};
-use ivyweir_policy::ledger::Bill;
+use ivyweir_policy::billing::Bill;
 use ivyweir_policy::{AuditEntry, Config, Intent, Plan};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/ivyweir-policy/src/ledger.rs
+++ b/crates/ivyweir-policy/src/billing.rs
@@ -1,4 +1,4 @@
-//! Billing: records, the segments that carry them, and the bill that readers make of them.
+//! Billing: records, the segments in which they are stored, and the bill computed from them.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -6,17 +6,17 @@
 
 use crate::Name;
 
-/// The charge for one request, its whole cascade included.
+/// The charge for one request, including all calls of its cascade.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// Who pays.
+    /// The workspace that is charged.
     pub workspace: Name,
-    /// The request's key, unique within the workspace.
+    /// Key of the request, unique within the workspace.
     pub key: Name,
-    /// What was called, in order.
+    /// The upstream calls, in order.
     pub calls: Vec<Call>,
-    /// When the answer was whole, in milliseconds since the epoch.
+    /// Time at which the answer was complete, in milliseconds since the epoch.
     pub at_ms: u64,
 }
 
@@ -24,74 +24,76 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// The version, as `model@version`, or the pool of a plain service.
+    /// The version, as `model@version`, or the pool of a non-model service.
     pub version: Name,
-    /// Tokens read and generated.
+    /// Number of prompt and completion tokens.
     pub tokens: u64,
-    /// The price, in millionths.
+    /// Price, in millionths of the billing unit.
     pub cost_micro: u64,
 }
 
 impl Record {
-    /// The price of the request, in millionths.
+    /// Total price of the request, in millionths of the billing unit.
     pub fn cost_micro(&self) -> u64 {
         self.calls.iter().map(|c| c.cost_micro).sum()
     }
 }
 
-/// Records that one box wrote to the store in one object.
+/// A batch of records that a box wrote to the store as one object.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Segment {
-    /// The records.
+    /// The records of the batch.
     pub records: Vec<Record>,
 }
 
-/// The object name of a segment: `writer` wrote it for the records of `box_name`'s incarnation.
+/// Object name of the segment that `writer` wrote for records of the given box incarnation.
 pub fn segment_name(box_name: &str, incarnation: u64, writer: &str, seq: u64) -> String {
     format!("bill/{box_name}-{incarnation}/{writer}-{seq:010}")
 }
 
-/// What each workspace owes.
+/// Charges of all workspaces.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bill {
     /// Totals by workspace.
     pub workspaces: BTreeMap<Name, Total>,
-    /// Records that stood in several segments and were counted once.
+    /// Number of duplicate records, which were not counted again.
     pub repeated_records: u64,
 }
 
 /// The total of one workspace.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Total {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: u64,
-    /// Price, in millionths.
+    /// Price, in millionths of the billing unit.
     pub cost_micro: u64,
 }
 
 impl Bill {
-    /// Joins segments by workspace and key; each request counts once, as its earliest record says.
-    pub fn join(segments: impl IntoIterator<Item = Segment>) -> Self {
-        let mut first: HashMap<(Name, Name), Record> = HashMap::new();
+    /// Computes the bill from segments. Records are deduplicated by workspace and key, and each
+    /// request is charged according to its earliest record.
+    pub fn from_segments(segments: impl IntoIterator<Item = Segment>) -> Self {
+        let mut earliest: HashMap<(Name, Name), Record> = HashMap::new();
         let mut bill = Self::default();
         for record in segments.into_iter().flat_map(|s| s.records) {
             let id = (record.workspace.clone(), record.key.clone());
-            match first.get_mut(&id) {
+            match earliest.get_mut(&id) {
                 None => {
-                    first.insert(id, record);
+                    earliest.insert(id, record);
                 }
-                Some(held) => {
+                Some(existing) => {
                     bill.repeated_records += 1;
-                    if (record.at_ms, record.cost_micro()) < (held.at_ms, held.cost_micro()) {
-                        *held = record;
+                    let order = (record.at_ms, record.cost_micro());
+                    if order < (existing.at_ms, existing.cost_micro()) {
+                        *existing = record;
                     }
                 }
             }
         }
-        for record in first.into_values() {
+        for record in earliest.into_values() {
             let total = bill.workspaces.entry(record.workspace.clone()).or_default();
             total.requests += 1;
             total.tokens += record.calls.iter().map(|c| c.tokens).sum::<u64>();
@@ -101,17 +103,17 @@
     }
 }
 
-/// Records that are not in the store yet, each with its sequence number.
+/// Records that have not been written to the store yet, each with its sequence number.
 #[derive(Debug)]
-pub struct Buffer {
+pub struct RecordBuffer {
     pending: VecDeque<(u64, Record)>,
     next_seq: u64,
     bytes: usize,
     max_bytes: usize,
 }
 
-impl Buffer {
-    /// An empty buffer that takes up to `max_bytes`.
+impl RecordBuffer {
+    /// Creates an empty buffer with a limit of `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         Self {
             pending: VecDeque::new(),
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Whether there is room for one more request.
+    /// Whether the buffer is below its size limit and another request may be admitted.
     pub fn has_room(&self) -> bool {
         self.bytes < self.max_bytes
     }
@@ -135,49 +137,49 @@
         seq
     }
 
-    /// Pending records behind `after_seq`, up to `max_records`, oldest first.
+    /// Returns up to `max_records` pending records after `after_seq`, oldest first.
     pub fn batch_after(&self, after_seq: u64, max_records: usize) -> Vec<(u64, Record)> {
-        // Sequence numbers have no gaps, so the place is known.
+        // Sequence numbers are contiguous, so the index follows from the first one.
         let first_seq = self.pending.front().map_or(0, |(seq, _)| *seq);
         let skip = (after_seq + 1).saturating_sub(first_seq) as usize;
-        let behind = self.pending.iter().skip(skip);
-        behind.take(max_records).cloned().collect()
+        let newer = self.pending.iter().skip(skip);
+        newer.take(max_records).cloned().collect()
     }
 
-    /// Drops what is in the store: all records up to and with `through_seq`.
+    /// Drops the records up to and including `through_seq`, which are in the store.
     pub fn drop_through(&mut self, through_seq: u64) {
         while self
             .pending
             .front()
             .is_some_and(|(seq, _)| *seq <= through_seq)
         {
-            let (_, record) = self.pending.pop_front().expect("there is a front");
+            let (_, record) = self.pending.pop_front().expect("the buffer is not empty");
             self.bytes -= record_bytes(&record);
         }
     }
 
-    /// Sequence number of the newest record; 0 before the first.
+    /// Sequence number of the newest record, or 0 if none has been added.
     pub fn last_seq(&self) -> u64 {
         self.next_seq - 1
     }
 
-    /// Pending records.
+    /// Number of pending records.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether nothing is pending.
+    /// Whether no records are pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Bytes that the pending records take, about.
+    /// Approximate size of the pending records in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 }
 
-/// A record's size, near enough for a bound.
+/// Approximate size of a record, accurate enough to enforce the buffer limit.
 fn record_bytes(record: &Record) -> usize {
     const FIXED_BYTES: usize = 96;
     let calls: usize = record.calls.iter().map(|c| c.version.len() + 24).sum();
--- a/crates/ivyweir-policy/src/lib.rs
+++ b/crates/ivyweir-policy/src/lib.rs
@@ -16,15 +16,16 @@
 
 pub mod admit;
 pub mod balance;
+pub mod billing;
 mod carry;
 pub mod choose;
 pub mod claim;
 mod config;
 mod error;
+pub mod freshness;
 pub mod gateway;
 pub mod guard;
 mod intent;
-pub mod ledger;
 pub mod member;
 mod plan;
 pub mod quality;
@@ -32,7 +33,6 @@
 pub mod refusal;
 pub mod retry;
 pub mod rollout;
-pub mod sight;
 pub mod token;
 mod upstream;
 
--- a/crates/ivyweir-policy/tests/keys.rs
+++ b/crates/ivyweir-policy/tests/keys.rs
@@ -1,7 +1,9 @@
 //! Session tokens, the sight rule, bills: small decisions with hard edges.
 
-use ivyweir_policy::ledger::{Bill, Call, Record, Segment};
-use ivyweir_policy::sight::{Evidence, PROOF_LIMIT_MS, Sight, judge, may_accept};
+use ivyweir_policy::billing::{Bill, Call, Record, Segment};
+use ivyweir_policy::freshness::{
+    Freshness, FreshnessEvidence, MAX_PROOF_AGE_MS, assess, may_accept_change,
+};
 use ivyweir_policy::token::Session;
 use ivyweir_policy::{ErrorKind, SessionKey};
 use proptest::prelude::*;
@@ -68,8 +70,8 @@
 macro_rules! sights {
     ($($name:ident: $age:expr, $heard:literal of $listed:literal => $sight:ident, $accepts:literal;)*) => {
         $(#[test] fn $name() {
-            let seen = Evidence { proof_age_ms: $age, listed: $listed, heard: $heard };
-            assert_eq!((judge(seen), may_accept(seen)), (Sight::$sight, $accepts));
+            let seen = FreshnessEvidence { proof_age_ms: $age, listed_boxes: $listed, alive_boxes: $heard };
+            assert_eq!((assess(seen), may_accept_change(seen)), (Freshness::$sight, $accepts));
         })*
     };
 }
@@ -77,12 +79,12 @@
 sights! {
     all_is_well: Some(10), 9 of 9 => Fresh, true;
     cut_from_peers_only: Some(10), 1 of 9 => Fresh, false;
-    at_the_limit: Some(PROOF_LIMIT_MS), 1 of 9 => Fresh, false;
-    store_out_for_all: Some(60_000), 9 of 9 => StoreOut, true;
-    store_out_and_half_gone: Some(60_000), 4 of 8 => Blind, false;
-    cut_from_all: Some(3_001), 1 of 9 => Blind, false;
-    never_seen_the_store: None, 5 of 9 => StoreOut, true;
-    alone: Some(60_000), 1 of 1 => StoreOut, true;
+    at_the_limit: Some(MAX_PROOF_AGE_MS), 1 of 9 => Fresh, false;
+    store_out_for_all: Some(60_000), 9 of 9 => StoreUnavailable, true;
+    store_out_and_half_gone: Some(60_000), 4 of 8 => Partitioned, false;
+    cut_from_all: Some(3_001), 1 of 9 => Partitioned, false;
+    never_seen_the_store: None, 5 of 9 => StoreUnavailable, true;
+    alone: Some(60_000), 1 of 1 => StoreUnavailable, true;
 }
 
 fn record(workspace: &str, key: &str, cost_micro: u64, at_ms: u64) -> Record {
@@ -111,7 +113,7 @@
             .iter()
             .map(|(w, k, cost, at)| record(&format!("w{w}"), &format!("k{k}"), *cost, *at))
             .collect();
-        let whole = Bill::join([Segment { records: records.clone() }]);
+        let whole = Bill::from_segments([Segment { records: records.clone() }]);
         let mut mixed = records.clone();
         mixed.sort_by_key(|r| ivyweir_policy::rank::mix(seed, r.at_ms * 100 + r.cost_micro()));
         let mut segments: Vec<Segment> = Vec::new();
@@ -120,7 +122,7 @@
             segments.push(Segment { records: front.to_vec() });
         }
         segments.push(Segment { records: mixed });
-        let joined = Bill::join(segments);
+        let joined = Bill::from_segments(segments);
         prop_assert_eq!(joined.workspaces, whole.workspaces);
     }
 
--- a/crates/ivyweir-standins/examples/load/cost.rs
+++ b/crates/ivyweir-standins/examples/load/cost.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ivyweir_policy::ledger::{Bill, Segment};
+use ivyweir_policy::billing::{Bill, Segment};
 use ivyweir_standins::World;
 
 /// Price of all requests billed since `from_ms`, when every box has flushed.
@@ -24,6 +24,6 @@
         segment.records.retain(|r| r.at_ms >= from_ms);
         segment
     });
-    let bill = Bill::join(segments);
+    let bill = Bill::from_segments(segments);
     bill.workspaces.values().map(|t| t.cost_micro).sum()
 }
--- a/crates/ivyweir/src/show.rs
+++ b/crates/ivyweir/src/show.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use ivyweir_operator::{ConfirmReply, PlanCheck, Status};
-use ivyweir_policy::ledger::Bill;
+use ivyweir_policy::billing::Bill;
 use ivyweir_policy::{
     AuditEntry, Event, Model, Name, Plan, VersionState, Workspace, describe_intent,
 };
--- a/crates/ivyweird/src/bill.rs
+++ b/crates/ivyweird/src/bill.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use ivyweir_platform::{Error, ErrorKind, Expect, ObjectStore, PutOutcome, Result};
-use ivyweir_policy::ledger::{Bill, Record, Segment};
+use ivyweir_policy::billing::{Bill, Record, Segment};
 
 use crate::node::Node;
 
@@ -40,7 +40,7 @@
             }
         }
         if !missed {
-            return Ok(Bill::join(segments.into_values()));
+            return Ok(Bill::from_segments(segments.into_values()));
         }
     }
     Err(Error::new(
--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -2,8 +2,8 @@
 
 use ivyweir_caller::{ChatRequest, Reply};
 use ivyweir_policy::Refusal;
+use ivyweir_policy::billing::Call;
 use ivyweir_policy::choose::Choice;
-use ivyweir_policy::ledger::Call;
 
 use crate::context::Context;
 use crate::route::{self, Route};
--- a/crates/ivyweird/src/confirm.rs
+++ b/crates/ivyweird/src/confirm.rs
@@ -2,7 +2,7 @@
 
 use ivyweir_operator::ConfirmReply;
 use ivyweir_platform::{ErrorKind, Expect, PutOutcome};
-use ivyweir_policy::{Config, Plan, sight, take_excess_audit_entries};
+use ivyweir_policy::{Config, Plan, freshness, take_excess_audit_entries};
 
 use crate::clock::Clock;
 use crate::config::Adoption;
@@ -29,7 +29,7 @@
 /// A sentence that says why nothing was tried.
 pub fn confirm(node: &Node, plan: &Plan, operator: &str) -> Result<ConfirmReply, String> {
     // A change accepted by a box that hears no majority might not reach the others.
-    if !sight::may_accept(node.evidence()) {
+    if !freshness::may_accept_change(node.evidence()) {
         return Err("this box hears too few others to accept a change".into());
     }
     // A store that was set back must not get a second change of a generation that was in force.
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -5,7 +5,7 @@
 
 use ivyweir_caller::{Header, Marks};
 use ivyweir_policy::claim::Incarnation;
-use ivyweir_policy::sight::Sight;
+use ivyweir_policy::freshness::Freshness;
 use ivyweir_policy::token::Session;
 use ivyweir_policy::{Code, ErrorKind, Name, Refusal, VersionRef};
 
@@ -176,7 +176,7 @@
     }
 
     fn claim(&self) -> Result<(), Refusal> {
-        if self.session.is_some() && self.node.sight() != Sight::Fresh {
+        if self.session.is_some() && self.node.sight() != Freshness::Fresh {
             // The store is out, and the session's authority is enough.
             return Ok(());
         }
--- a/crates/ivyweird/src/ledger.rs
+++ b/crates/ivyweird/src/ledger.rs
@@ -9,8 +9,8 @@
 
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use ivyweir_peer::pb;
+use ivyweir_policy::billing::{Record, RecordBuffer};
 use ivyweir_policy::claim::Incarnation;
-use ivyweir_policy::ledger::{Buffer, Record};
 use ivyweir_policy::{Code, Name, Refusal};
 
 use crate::segments::Flush;
@@ -23,7 +23,7 @@
 
 /// Records of this box and of others.
 pub struct Ledger {
-    pub(crate) buffer: Mutex<Buffer>,
+    pub(crate) buffer: Mutex<RecordBuffer>,
     waiting: Sender<Waiting>,
     pub(crate) queue: Receiver<Waiting>,
     pub(crate) held: Mutex<HashMap<Incarnation, BTreeMap<u64, Record>>>,
@@ -45,7 +45,7 @@
     pub fn new(max_bytes: usize) -> Self {
         let (waiting, queue) = unbounded();
         Self {
-            buffer: Mutex::new(Buffer::new(max_bytes)),
+            buffer: Mutex::new(RecordBuffer::new(max_bytes)),
             waiting,
             queue,
             held: Mutex::new(HashMap::new()),
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -9,8 +9,8 @@
 use ivyweir_peer::Client;
 use ivyweir_platform::{BoxSource, HttpPlatform, ObjectStore};
 use ivyweir_policy::claim::Incarnation;
+use ivyweir_policy::freshness::{self, Freshness, FreshnessEvidence};
 use ivyweir_policy::member::{Record, Table, Timing};
-use ivyweir_policy::sight::{self, Evidence, Sight};
 use ivyweir_policy::{BoxState, Code, Name, Refusal};
 use ivyweir_rating::{HttpRater, Rater};
 use ivyweir_service::{HttpService, Service};
@@ -187,13 +187,13 @@
     }
 
     /// What this box knows about the freshness of its configuration.
-    pub fn evidence(&self) -> Evidence {
+    pub fn evidence(&self) -> FreshnessEvidence {
         let (listed, heard) =
             self.with_members(|table, timing, now_ms| table.listed_and_heard(timing, now_ms));
-        Evidence {
+        FreshnessEvidence {
             proof_age_ms: self.config.proof_age_ms(self.clock.now_ms()),
-            listed,
-            heard,
+            listed_boxes: listed,
+            alive_boxes: heard,
         }
     }
 
@@ -204,8 +204,8 @@
     }
 
     /// Whether this box may serve on its configuration.
-    pub fn sight(&self) -> Sight {
-        sight::judge(self.evidence())
+    pub fn sight(&self) -> Freshness {
+        freshness::assess(self.evidence())
     }
 
     /// Counts a request in, unless this box stops or cannot tell whether its configuration holds.
@@ -229,7 +229,7 @@
     pub fn enter_forwarded(&self) -> Result<InProgress<'_>, Refusal> {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         let entered = InProgress { node: self };
-        if self.config.generation() == 0 || !self.sight().admits() {
+        if self.config.generation() == 0 || !self.sight().admits_requests() {
             let text = "this box cannot show that its configuration is current";
             return Err(Refusal::not_run(Code::StaleConfig, text).retry_after(STALE_HINT_MS));
         }
@@ -243,7 +243,7 @@
 
     /// Whether this box may be sent callers.
     pub fn is_ready(&self) -> bool {
-        let admits = self.config.generation() > 0 && self.sight().admits();
+        let admits = self.config.generation() > 0 && self.sight().admits_requests();
         !self.is_draining() && admits && self.is_warm()
     }
 
--- a/crates/ivyweird/src/operator_api.rs
+++ b/crates/ivyweird/src/operator_api.rs
@@ -6,8 +6,8 @@
 use ivyweir_operator::{
     BoxStatus, ExposureStatus, PlanCheck, Problem, RolloutStatus, Status, UpstreamStatus,
 };
+use ivyweir_policy::freshness::Freshness;
 use ivyweir_policy::member::Health;
-use ivyweir_policy::sight::Sight;
 use ivyweir_policy::{
     AuditEntry, BoxState, Config, ErrorKind, Intent, Name, Plan, Role, RolloutState, VersionRef,
 };
@@ -189,9 +189,9 @@
 fn status(node: &Node) -> Status {
     let current = node.current();
     let sight = match node.sight() {
-        Sight::Fresh => "fresh",
-        Sight::StoreOut => "store_out",
-        Sight::Blind => "blind",
+        Freshness::Fresh => "fresh",
+        Freshness::StoreUnavailable => "store_out",
+        Freshness::Partitioned => "blind",
     };
     Status {
         seen_from: node.me.box_name.clone(),
--- a/crates/ivyweird/src/replica.rs
+++ b/crates/ivyweird/src/replica.rs
@@ -5,8 +5,8 @@
 
 use crossbeam::channel::RecvTimeoutError;
 use ivyweir_peer::pb;
+use ivyweir_policy::billing::Record;
 use ivyweir_policy::claim::Incarnation;
-use ivyweir_policy::ledger::Record;
 use ivyweir_policy::member::{Health, Record as Member};
 use ivyweir_policy::rank;
 
--- a/crates/ivyweird/src/run.rs
+++ b/crates/ivyweird/src/run.rs
@@ -4,7 +4,7 @@
 
 use ivyweir_caller::ChatRequest;
 use ivyweir_engine::{Answer, CallError, Completion, Fault, Usage};
-use ivyweir_policy::ledger::{Call, Record};
+use ivyweir_policy::billing::{Call, Record};
 use ivyweir_policy::quality::bucket;
 use ivyweir_policy::{Code, Name, Refusal, VersionRef};
 
--- a/crates/ivyweird/src/segments.rs
+++ b/crates/ivyweird/src/segments.rs
@@ -4,8 +4,8 @@
 
 use ivyweir_peer::pb;
 use ivyweir_platform::{Expect, PutOutcome};
+use ivyweir_policy::billing::{Record, Segment, segment_name};
 use ivyweir_policy::claim::Incarnation;
-use ivyweir_policy::ledger::{Record, Segment, segment_name};
 use ivyweir_policy::member::Health;
 
 use crate::node::Node;
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ivyweir_caller::{Header, Reply};
-use ivyweir_policy::ledger::Call;
+use ivyweir_policy::billing::Call;
 use ivyweir_policy::rank::hash64;
 use ivyweir_policy::{Code, Name, PoolKind, Refusal};
 use ivyweir_service::CallError;
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -4,7 +4,7 @@
 
 use ivyweir_caller::{ChatRequest, EventWriter, Header, Incoming, Reply};
 use ivyweir_engine::{CallError, Chunk, Fault, Usage};
-use ivyweir_policy::ledger::Call;
+use ivyweir_policy::billing::Call;
 use ivyweir_policy::{Refusal, VersionRef};
 use serde_json::{Map, Value};
 
--- a/crates/ivyweird/tests/billing.rs
+++ b/crates/ivyweird/tests/billing.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{spec, start, three, wait_billed};
-use ivyweir_policy::ledger::Segment;
+use ivyweir_policy::billing::Segment;
 use ivyweir_standins::{PlatformFaults, World, WorldSpec, wait_until};
 use serde_json::json;
 
--- a/crates/ivyweird/tests/random.rs
+++ b/crates/ivyweird/tests/random.rs
@@ -356,7 +356,7 @@
     let billed = || {
         let mut keys: HashMap<String, usize> = HashMap::new();
         for body in world.platform.peek_all("bill/") {
-            let segment: ivyweir_policy::ledger::Segment =
+            let segment: ivyweir_policy::billing::Segment =
                 serde_json::from_slice(&body).expect("a segment");
             for record in segment.records {
                 *keys.entry(record.key.to_string()).or_default() += 1;
