--- a/crates/ivyweir-policy/src/billing.rs
+++ b/crates/ivyweir-policy/src/billing.rs
@@ -86,8 +86,8 @@
                 }
                 Some(existing) => {
                     bill.repeated_records += 1;
-                    let order = (record.at_ms, record.cost_micro());
-                    if order < (existing.at_ms, existing.cost_micro()) {
+                    if (record.at_ms, record.cost_micro()) < (existing.at_ms, existing.cost_micro())
+                    {
                         *existing = record;
                     }
                 }
--- a/crates/ivyweir-policy/src/carry.rs
+++ b/crates/ivyweir-policy/src/carry.rs
@@ -185,8 +185,8 @@
             "roll-out, expected a share of at most 1000, 1 step or more, an end after its start";
         return Err(Error::new(ErrorKind::Invalid, text));
     }
-    let id = rollout::id(workspace, &to.model);
-    let from_permille = rollout::share_of(&out.config, &id, &to.version);
+    let id = rollout::rollout_id(workspace, &to.model);
+    let from_permille = rollout::share_permille(&out.config, &id, &to.version);
     let span = target_permille.saturating_sub(from_permille);
     let rollout = Rollout {
         workspace: workspace.clone(),
@@ -319,7 +319,7 @@
         Intent::PutPool { name, .. } => json(&config.pools.get(name)),
         Intent::PutOperator { name, .. } => json(&config.operators.get(name)),
         Intent::Roll { workspace, to, .. } => {
-            let id = rollout::id(workspace, &to.model);
+            let id = rollout::rollout_id(workspace, &to.model);
             let allowed = config.workspaces.get(workspace).map(|w| &w.allowed);
             json(&(
                 config.models.get(&to.model),
--- a/crates/ivyweir-policy/src/config.rs
+++ b/crates/ivyweir-policy/src/config.rs
@@ -31,7 +31,7 @@
     pub pools: BTreeMap<Name, Pool>,
     /// Operators by name.
     pub operators: BTreeMap<Name, Operator>,
-    /// Session token keys. New tokens are signed with the last key; tokens are verified against all.
+    /// Session token keys. The last one signs new tokens; tokens are verified against all of them.
     pub session_keys: Vec<SessionKey>,
     /// Ids of the most recently applied plans, oldest first.
     pub applied_plans: Vec<Name>,
--- a/crates/ivyweir-policy/src/freshness.rs
+++ b/crates/ivyweir-policy/src/freshness.rs
@@ -1,8 +1,8 @@
 //! Freshness of the configuration: whether a box may keep serving with the configuration it has.
 //!
-//! A withdrawn version must stop receiving new work within seconds. A box that cannot prove that its
-//! configuration is the latest therefore stops admitting requests, unless no box can have accepted a
-//! change.
+//! A withdrawn version must stop receiving new work within seconds. A box that cannot prove that
+//! its configuration is the latest therefore stops admitting requests, unless no box can have
+//! accepted a change.
 
 /// Maximum age of a proof of freshness; an older one does not count.
 pub const MAX_PROOF_AGE_MS: u64 = 3_000;
@@ -40,7 +40,7 @@
 /// Determines the freshness of a configuration.
 ///
 /// Proofs are propagated with the heartbeats and each box keeps the newest, so a stale
-/// `proof_age_ms` means that none of the boxes that are alive has a newer one. A change is accepted only by a
+/// `proof_age_ms` means that none of the alive boxes has a newer one. A change is accepted only by a
 /// box that is in contact with a majority ([`may_accept_change`]); two majorities have at least one
 /// box in common, which propagates the change.
 pub fn assess(evidence: FreshnessEvidence) -> Freshness {
--- a/crates/ivyweir-policy/src/plan.rs
+++ b/crates/ivyweir-policy/src/plan.rs
@@ -94,8 +94,8 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Moved`] when the configuration parts that the plan depends on have changed since
-    /// it was created.
+    /// [`ErrorKind::Moved`] when configuration parts that the plan depends on have changed since it
+    /// was created.
     pub fn apply(&self, config: &Config, operator: &str, now_ms: u64) -> Result<Config> {
         if footprint(config, &self.intent) != self.footprint {
             return Err(Error::new(ErrorKind::Moved, format!("plan {}", self.id)));
--- a/crates/ivyweir-policy/src/rollout.rs
+++ b/crates/ivyweir-policy/src/rollout.rs
@@ -1,15 +1,15 @@
-//! Roll-outs: which version a new session gets, and when the next step is due.
+//! Roll-outs: assignment of versions to new sessions, and scheduling of roll-out steps.
 
 use crate::rank::hash64;
 use crate::{Config, Intent, Name, Rollout, RolloutState, VersionRef};
 
-/// The id of the roll-out of `model` in `workspace`; there is one at a time.
-pub fn id(workspace: &str, model: &str) -> Name {
+/// Returns the id of the roll-out of `model` in `workspace`. There is at most one at a time.
+pub fn rollout_id(workspace: &str, model: &str) -> Name {
     format!("{workspace}.{model}").into()
 }
 
-/// The share that roll-out `id` gives to `version` now, in thousandths.
-pub fn share_of(config: &Config, id: &str, version: &str) -> u32 {
+/// Returns the current share of `version` in roll-out `id`, in thousandths.
+pub fn share_permille(config: &Config, id: &str, version: &str) -> u32 {
     config
         .rollouts
         .get(id)
@@ -17,30 +17,36 @@
         .map_or(0, |r| r.share_permille)
 }
 
-/// The version that a new session or single request of `workspace` gets for `model`.
+/// Returns the version of `model` for a new session or single request of `workspace`.
 ///
-/// `nonce` decides the split, so that every box agrees without a message. The answer may be
-/// withdrawn or not allowed: [`Config::permits`] decides that.
-pub fn resolve(config: &Config, workspace: &str, model: &str, nonce: &str) -> Option<VersionRef> {
+/// The choice depends only on the configuration and `nonce`, so that all boxes agree on it without
+/// communication. The version may be withdrawn or not allowed for the workspace; callers check this
+/// with [`Config::permits`].
+pub fn resolve_version(
+    config: &Config,
+    workspace: &str,
+    model: &str,
+    nonce: &str,
+) -> Option<VersionRef> {
     let entry = config.models.get(model)?;
-    let rolled = config
+    let rollout_version = config
         .rollouts
-        .get(&id(workspace, model))
+        .get(&rollout_id(workspace, model))
         .filter(|r| r.state != RolloutState::Halted)
-        .filter(|r| position_permille(nonce, model) < r.share_permille)
+        .filter(|r| split_position_permille(nonce, model) < r.share_permille)
         .map(|r| r.to.clone());
     Some(VersionRef::new(
         model,
-        rolled.unwrap_or_else(|| entry.current.clone()),
+        rollout_version.unwrap_or_else(|| entry.current.clone()),
     ))
 }
 
-/// Where a nonce falls between 0 and 999.
-fn position_permille(nonce: &str, model: &str) -> u32 {
+/// Maps a nonce to a position between 0 and 999 by a hash.
+fn split_position_permille(nonce: &str, model: &str) -> u32 {
     (hash64(&[b"split", nonce.as_bytes(), model.as_bytes()]) % 1_000) as u32
 }
 
-/// What the guard of a roll-out looks at.
+/// Measurements of the rolled-out version that the guard evaluates.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Observation {
     /// Number of ratings.
@@ -49,21 +55,26 @@
     pub mean_quality: f64,
     /// Number of answers.
     pub done: u64,
-    /// Number of failed ones among them.
+    /// Number of failed answers.
     pub failed: u64,
 }
 
-/// Ratings needed before the quality floor counts.
-const MIN_RATED: u64 = 12;
-/// Answers needed before the failure floor counts.
-const MIN_DONE: u64 = 20;
+/// Minimum number of ratings before the quality limit is enforced.
+const MIN_RATINGS: u64 = 12;
+/// Minimum number of answers before the failure limit is enforced.
+const MIN_ANSWERS: u64 = 20;
 
-/// The next change a roll-out needs, if any: a halt by its guard or a due step.
-pub fn next(id: &Name, rollout: &Rollout, seen: Observation, now_ms: u64) -> Option<Intent> {
+/// Returns the next intent for a roll-out, if any: a halt by its guard or a step that is due.
+pub fn next_intent(
+    id: &Name,
+    rollout: &Rollout,
+    observation: Observation,
+    now_ms: u64,
+) -> Option<Intent> {
     if rollout.state == RolloutState::Halted {
         return None;
     }
-    if let Some(reason) = breach(rollout, seen) {
+    if let Some(reason) = guard_violation(rollout, observation) {
         return Some(Intent::Halt {
             rollout: id.clone(),
             reason,
@@ -78,28 +89,30 @@
     })
 }
 
-/// Takes one step per interval; one that was interrupted catches up only at its deadline.
+/// Returns the share that is due now. The share grows by one step per interval. Steps that were
+/// missed during an interruption are made up for only at the deadline.
 fn due_share(rollout: &Rollout, now_ms: u64) -> u32 {
     if now_ms >= rollout.until_ms {
         return rollout.target_permille;
     }
-    let waited_ms = now_ms.saturating_sub(rollout.stepped_ms);
-    if waited_ms < rollout.step_interval_ms {
+    let since_step_ms = now_ms.saturating_sub(rollout.stepped_ms);
+    if since_step_ms < rollout.step_interval_ms {
         return rollout.share_permille;
     }
     (rollout.share_permille + rollout.step_permille).min(rollout.target_permille)
 }
 
-fn breach(rollout: &Rollout, seen: Observation) -> Option<String> {
+/// Returns the reason for a halt if the observation violates the guard.
+fn guard_violation(rollout: &Rollout, observation: Observation) -> Option<String> {
     let guard = &rollout.guard;
-    if seen.rated >= MIN_RATED && seen.mean_quality < guard.quality_floor {
+    if observation.rated >= MIN_RATINGS && observation.mean_quality < guard.quality_floor {
         return Some(format!(
             "mean rating {:.3} under {:.3}",
-            seen.mean_quality, guard.quality_floor
+            observation.mean_quality, guard.quality_floor
         ));
     }
-    let failed_permille = seen.failed * 1_000 / seen.done.max(1);
-    if seen.done >= MIN_DONE && failed_permille > u64::from(guard.failed_permille) {
+    let failed_permille = observation.failed * 1_000 / observation.done.max(1);
+    if observation.done >= MIN_ANSWERS && failed_permille > u64::from(guard.failed_permille) {
         return Some(format!("{failed_permille}/1000 answers failed"));
     }
     None
--- a/crates/ivyweir-policy/src/token.rs
+++ b/crates/ivyweir-policy/src/token.rs
@@ -1,49 +1,55 @@
-//! Session tokens: signed, so that any box honours them without state.
+//! Session tokens. They are signed, so that any box can verify them without stored state.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Error, ErrorKind, Name, Result, SessionKey, VersionRef};
 
-/// What a session token says.
+/// Content of a session token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Session {
-    /// Id of the key that signed it.
+    /// Id of the signing key.
     pub key_id: Name,
-    /// The workspace it belongs to.
+    /// The workspace that the session belongs to.
     pub workspace: Name,
-    /// Makes it unique, and decides its side of every roll-out.
+    /// Makes the token unique and determines the session's version in every roll-out.
     pub nonce: Name,
-    /// The version for each model of its cascade.
+    /// The version of each model in the session's cascade.
     pub versions: Vec<VersionRef>,
-    /// The box that opened it.
+    /// The box that created the session.
     pub box_name: Name,
-    /// That box's incarnation.
+    /// Incarnation of that box.
     pub incarnation: u64,
-    /// End of validity, in milliseconds since the epoch.
+    /// Expiry time, in milliseconds since the epoch.
     pub expires_ms: u64,
 }
 
 const MAX_TOKEN_BYTES: usize = 4_096;
 
 impl Session {
-    /// Signs the session; `key` must be the one that `key_id` names.
-    pub fn seal(&self, key: &SessionKey) -> String {
+    /// Encodes and signs the token. `key` must be the key with the id `key_id`.
+    pub fn to_signed_token(&self, key: &SessionKey) -> String {
         debug_assert_eq!(self.key_id, key.id);
         let body = serde_json::to_vec(self).expect("a session is always valid JSON");
         let body_hex = to_hex(&body);
-        let mac = mac(key, body_hex.as_bytes());
+        let mac = compute_mac(key, body_hex.as_bytes());
         format!("{body_hex}.{}", mac.to_hex())
     }
 
-    /// Reads a token and checks its signature, workspace and expiry.
+    /// Decodes a token and verifies its signature, workspace and expiry time.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Invalid`] for text that is no token, [`ErrorKind::Forged`] for a wrong
-    /// signature, unknown key or another workspace, [`ErrorKind::Expired`].
-    pub fn open(text: &str, keys: &[SessionKey], workspace: &str, now_ms: u64) -> Result<Self> {
-        let session = Self::open_unscoped(text, keys)?;
+    /// [`ErrorKind::Invalid`] if the text is not a token, [`ErrorKind::Forged`] for a wrong
+    /// signature, an unknown key or another workspace, and [`ErrorKind::Expired`] after the expiry
+    /// time.
+    pub fn from_signed_token(
+        text: &str,
+        keys: &[SessionKey],
+        workspace: &str,
+        now_ms: u64,
+    ) -> Result<Self> {
+        let session = Self::verify_signature(text, keys)?;
         if session.workspace.as_ref() != workspace {
             return Err(Error::new(
                 ErrorKind::Forged,
@@ -56,7 +62,8 @@
         Ok(session)
     }
 
-    fn open_unscoped(text: &str, keys: &[SessionKey]) -> Result<Self> {
+    /// Decodes a token and verifies its signature, but not its workspace or expiry time.
+    fn verify_signature(text: &str, keys: &[SessionKey]) -> Result<Self> {
         let invalid = || Error::new(ErrorKind::Invalid, "session token");
         if text.len() > MAX_TOKEN_BYTES {
             return Err(invalid());
@@ -69,21 +76,21 @@
             .iter()
             .find(|k| k.id == session.key_id)
             .ok_or_else(forged)?;
-        let given = blake3::Hash::from_hex(mac_hex).map_err(|_| forged())?;
-        if mac(key, body_hex.as_bytes()) == given {
+        let received = blake3::Hash::from_hex(mac_hex).map_err(|_| forged())?;
+        if compute_mac(key, body_hex.as_bytes()) == received {
             Ok(session)
         } else {
             Err(forged())
         }
     }
 
-    /// The session's version of `model`.
+    /// The version of `model` that the session uses.
     pub fn version_of(&self, model: &str) -> Option<&VersionRef> {
         self.versions.iter().find(|v| v.model.as_ref() == model)
     }
 }
 
-fn mac(key: &SessionKey, body: &[u8]) -> blake3::Hash {
+fn compute_mac(key: &SessionKey, body: &[u8]) -> blake3::Hash {
     let derived = blake3::derive_key("ivyweir session token", key.secret_hex.as_bytes());
     blake3::keyed_hash(&derived, body)
 }
--- a/crates/ivyweir-policy/tests/keys.rs
+++ b/crates/ivyweir-policy/tests/keys.rs
@@ -31,9 +31,9 @@
 macro_rules! tokens {
     ($($name:ident: $text:expr, $keys:expr, $workspace:literal, $now_ms:literal => $expected:expr;)*) => {
         $(#[test] fn $name() {
-            let token = session().seal(&key("k1"));
+            let token = session().to_signed_token(&key("k1"));
             let text: String = $text(&token);
-            let opened = Session::open(&text, &$keys, $workspace, $now_ms);
+            let opened = Session::from_signed_token(&text, &$keys, $workspace, $now_ms);
             assert_eq!(opened.map(|s| s.nonce.to_string()).map_err(|e| e.kind()), $expected);
         })*
     };
@@ -128,6 +128,6 @@
 
     #[test]
     fn any_text_is_no_token(text in ".{0,200}") {
-        prop_assert!(Session::open(&text, &[key("k1")], "studio", 0).is_err());
+        prop_assert!(Session::from_signed_token(&text, &[key("k1")], "studio", 0).is_err());
     }
 }
--- a/crates/ivyweir-policy/tests/plans.rs
+++ b/crates/ivyweir-policy/tests/plans.rs
@@ -147,7 +147,7 @@
     };
     let mut shares = Vec::new();
     for now_ms in [1_500, 2_000, 2_500, 3_000, 5_000] {
-        if let Some(step) = rollout::next(&id, &config.rollouts[&id], calm, now_ms) {
+        if let Some(step) = rollout::next_intent(&id, &config.rollouts[&id], calm, now_ms) {
             config = apply(&config, step);
         }
         shares.push(config.rollouts[&id].share_permille);
@@ -160,7 +160,7 @@
         done: 40,
         failed: 20,
     };
-    let halt = rollout::next(&id, &config.rollouts[&id], failing, 6_000);
+    let halt = rollout::next_intent(&id, &config.rollouts[&id], failing, 6_000);
     assert!(matches!(halt, Some(Intent::Halt { .. })), "{halt:?}");
 }
 
@@ -168,7 +168,7 @@
 fn the_split_follows_the_share_and_does_not_move_a_nonce_back() {
     let mut config = apply(&base(), roll(1_000));
     let rolled = |config: &Config, nonce: &str| {
-        let at = rollout::resolve(config, "x", "m", nonce).expect("the model is there");
+        let at = rollout::resolve_version(config, "x", "m", nonce).expect("the model is there");
         at.version.as_ref() == "v2"
     };
     let mut before = vec![false; 2_000];
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -221,7 +221,7 @@
 
 fn open_session(current: &Current, token: &str, workspace: &str) -> Result<Session, Refusal> {
     let keys = &current.config.session_keys;
-    Session::open(token, keys, workspace, Clock::epoch_ms()).map_err(|e| {
+    Session::from_signed_token(token, keys, workspace, Clock::epoch_ms()).map_err(|e| {
         let code = match e.kind() {
             ErrorKind::Expired => Code::SessionExpired,
             _ => Code::SessionInvalid,
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -74,7 +74,7 @@
             done: count.done,
             failed: count.failed,
         };
-        let Some(intent) = rollout::next(id, rollout, seen, Clock::epoch_ms()) else {
+        let Some(intent) = rollout::next_intent(id, rollout, seen, Clock::epoch_ms()) else {
             continue;
         };
         if lease.is_held(node.clock.now_ms()) {
--- a/crates/ivyweird/src/route.rs
+++ b/crates/ivyweird/src/route.rs
@@ -123,7 +123,7 @@
     model: &str,
     nonce: &str,
 ) -> Option<VersionRef> {
-    let split = rollout::resolve(config, workspace, model, nonce)?;
+    let split = rollout::resolve_version(config, workspace, model, nonce)?;
     let entry = config.models.get(model)?;
     let current = VersionRef::new(model, entry.current.clone());
     let others = entry
--- a/crates/ivyweird/src/session.rs
+++ b/crates/ivyweird/src/session.rs
@@ -46,7 +46,7 @@
     };
     let body = json!({
         "object": "session",
-        "session": session.seal(key),
+        "session": session.to_signed_token(key),
         "expires_ms": expires_ms,
         "versions": session.versions.iter().map(ToString::to_string).collect::<Vec<_>>(),
     });
