--- a/crates/ivyweir-policy/src/choose.rs
+++ b/crates/ivyweir-policy/src/choose.rs
@@ -1,7 +1,7 @@
 //! Which model answers: the cheapest that meets the quality target, alone or in a cascade.
 
 use crate::VersionRef;
-use crate::quality::{BUCKETS, Count, DEFAULT_Z};
+use crate::quality::{CONFIDENCE_BUCKETS, DEFAULT_Z, QualityCounts};
 
 /// Ratings of delivered buckets from which on a cascade is considered.
 const MIN_BUCKET_RATED: u64 = 12;
@@ -18,7 +18,7 @@
     /// Quality expected before any rating.
     pub prior_quality: f64,
     /// Counts by confidence bucket.
-    pub buckets: [Count; BUCKETS],
+    pub buckets: [QualityCounts; CONFIDENCE_BUCKETS],
     /// Whether it is held to be bad now.
     pub bad: bool,
 }
@@ -58,15 +58,18 @@
 }
 
 impl Candidate {
-    fn total(&self) -> Count {
+    fn total(&self) -> QualityCounts {
         self.buckets
             .iter()
-            .fold(Count::default(), |sum, c| sum.plus(*c))
+            .fold(QualityCounts::default(), |sum, c| sum.plus(*c))
     }
 
     fn forecast(&self) -> Forecast {
         Forecast {
-            quality: self.total().estimate(self.prior_quality).lower(DEFAULT_Z),
+            quality: self
+                .total()
+                .estimate(self.prior_quality)
+                .lower_bound(DEFAULT_Z),
             cost_micro: self.cost_micro_per_ktoken as f64,
         }
     }
@@ -117,7 +120,7 @@
             if !dearer {
                 continue;
             }
-            for accept_from in 1..BUCKETS as u8 {
+            for accept_from in 1..CONFIDENCE_BUCKETS as u8 {
                 let forecast = cascade(&candidates[first], &candidates[then], accept_from);
                 let choice = Choice::Cascade {
                     first,
@@ -135,12 +138,16 @@
 fn cascade(first: &Candidate, then: &Candidate, accept_from: u8) -> Option<Forecast> {
     let total_done: u64 = first.buckets.iter().map(|c| c.done).sum();
     let kept = &first.buckets[usize::from(accept_from)..];
-    let kept_count = kept.iter().fold(Count::default(), |sum, c| sum.plus(*c));
+    let kept_count = kept
+        .iter()
+        .fold(QualityCounts::default(), |sum, c| sum.plus(*c));
     if total_done == 0 || kept_count.rated < MIN_BUCKET_RATED {
         return None;
     }
     let kept_share = kept_count.done as f64 / total_done as f64;
-    let kept_quality = kept_count.estimate(first.prior_quality).lower(CASCADE_Z);
+    let kept_quality = kept_count
+        .estimate(first.prior_quality)
+        .lower_bound(CASCADE_Z);
     let then_forecast = then.forecast();
     let passed_share = 1.0 - kept_share;
     Some(Forecast {
@@ -179,7 +186,7 @@
         Some(then) if needs.may_cascade => Some(Choice::Cascade {
             first,
             then,
-            accept_from: BUCKETS as u8 / 2,
+            accept_from: CONFIDENCE_BUCKETS as u8 / 2,
         }),
         _ => Some(Choice::Single(first)),
     }
--- a/crates/ivyweir-policy/src/freshness.rs
+++ b/crates/ivyweir-policy/src/freshness.rs
@@ -40,9 +40,9 @@
 /// Determines the freshness of a configuration.
 ///
 /// Proofs are propagated with the heartbeats and each box keeps the newest, so a stale
-/// `proof_age_ms` means that none of the alive boxes has a newer one. A change is accepted only by a
-/// box that is in contact with a majority ([`may_accept_change`]); two majorities have at least one
-/// box in common, which propagates the change.
+/// `proof_age_ms` means that none of the alive boxes has a newer one. A change is accepted only by
+/// a box that is in contact with a majority ([`may_accept_change`]); two majorities have at least
+/// one box in common, which propagates the change.
 pub fn assess(evidence: FreshnessEvidence) -> Freshness {
     let fresh = evidence
         .proof_age_ms
--- a/crates/ivyweir-policy/tests/load.rs
+++ b/crates/ivyweir-policy/tests/load.rs
@@ -7,7 +7,7 @@
 use ivyweir_policy::choose::{Candidate, Choice, Needs, choose};
 use ivyweir_policy::guard::Detector;
 use ivyweir_policy::member::{Health, Record, Table, Timing};
-use ivyweir_policy::quality::{BUCKETS, Count};
+use ivyweir_policy::quality::{CONFIDENCE_BUCKETS, QualityCounts};
 use ivyweir_policy::rank::{hash64, mix};
 use ivyweir_policy::retry::{Budget, hint_ms};
 use ivyweir_policy::{BoxState, Name};
@@ -226,12 +226,12 @@
     assert_eq!((expired.len(), queue.len()), (37, 0));
 }
 
-fn candidate(name: &str, cost: u64, by_bucket: [(u64, f64); BUCKETS]) -> Candidate {
-    let mut buckets = [Count::default(); BUCKETS];
+fn candidate(name: &str, cost: u64, by_bucket: [(u64, f64); CONFIDENCE_BUCKETS]) -> Candidate {
+    let mut buckets = [QualityCounts::default(); CONFIDENCE_BUCKETS];
     for (count, (n, score)) in buckets.iter_mut().zip(by_bucket) {
         for _ in 0..n {
-            count.rate(score);
-            count.finish(false);
+            count.add_rating(score);
+            count.add_answer(false);
         }
     }
     Candidate {
@@ -243,8 +243,17 @@
     }
 }
 
-fn split(low: f64, high: f64) -> [(u64, f64); BUCKETS] {
-    std::array::from_fn(|at| (100, if at < BUCKETS / 2 { low } else { high }))
+fn split(low: f64, high: f64) -> [(u64, f64); CONFIDENCE_BUCKETS] {
+    std::array::from_fn(|at| {
+        (
+            100,
+            if at < CONFIDENCE_BUCKETS / 2 {
+                low
+            } else {
+                high
+            },
+        )
+    })
 }
 
 macro_rules! choices {
--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -6,7 +6,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::balance::Report;
 use ivyweir_policy::member::{Beat, Record};
-use ivyweir_policy::quality::{Count, Counter, Subject};
+use ivyweir_policy::quality::{CounterKey, CounterOwner, QualityCounts};
 
 use crate::gate::Moment;
 use crate::learn::{Tally, Verdict};
@@ -310,17 +310,17 @@
 
 fn tally_in(tally: &pb::Tally) -> Tally {
     Tally {
-        subject: Subject {
+        subject: CounterKey {
             version: tally.version.as_str().into(),
             class: tally.class.as_str().into(),
             bucket: tally.bucket.min(u32::from(u8::MAX)) as u8,
             window: tally.window,
         },
-        by: Counter {
+        by: CounterOwner {
             box_name: tally.r#box.as_str().into(),
             incarnation: tally.incarnation,
         },
-        count: Count {
+        count: QualityCounts {
             rated: tally.rated,
             score_milli: tally.score_milli,
             score_square_milli: tally.score_square_milli,
@@ -342,7 +342,7 @@
 
 fn verdict_in(verdict: &pb::Verdict) -> Verdict {
     Verdict {
-        by: Counter {
+        by: CounterOwner {
             box_name: verdict.r#box.as_str().into(),
             incarnation: verdict.incarnation,
         },
--- a/crates/ivyweird/src/learn.rs
+++ b/crates/ivyweird/src/learn.rs
@@ -6,7 +6,9 @@
 use ivyweir_policy::balance::VersionSet;
 use ivyweir_policy::claim::Incarnation;
 use ivyweir_policy::guard::{self, Detector};
-use ivyweir_policy::quality::{BUCKETS, Book, Count, Counter, Subject};
+use ivyweir_policy::quality::{
+    CONFIDENCE_BUCKETS, CounterKey, CounterOwner, QualityCounts, QualityTable,
+};
 use ivyweir_policy::{Name, VersionRef};
 
 use crate::shards::lock;
@@ -18,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verdict {
     /// The box.
-    pub by: Counter,
+    pub by: CounterOwner,
     /// The version.
     pub version: Name,
     /// Whether it is bad.
@@ -31,17 +33,17 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tally {
     /// What it is about.
-    pub subject: Subject,
+    pub subject: CounterKey,
     /// Who counted.
-    pub by: Counter,
+    pub by: CounterOwner,
     /// The counters.
-    pub count: Count,
+    pub count: QualityCounts,
 }
 
 /// All that is learnt.
 pub struct Learning {
-    me: Counter,
-    book: Mutex<Book>,
+    me: CounterOwner,
+    book: Mutex<QualityTable>,
     watch: Mutex<Watch>,
     sets: Mutex<HashMap<u32, VersionSet>>,
     /// Counts by version and class, as they were a moment ago.
@@ -52,7 +54,7 @@
 #[derive(Clone, Copy)]
 struct Known {
     at_ms: u64,
-    buckets: [Count; BUCKETS],
+    buckets: [QualityCounts; CONFIDENCE_BUCKETS],
 }
 
 /// Counts may be this old; adding them up takes a walk through the book.
@@ -98,11 +100,11 @@
     /// Nothing learnt.
     pub fn new(me: &Incarnation) -> Self {
         Self {
-            me: Counter {
+            me: CounterOwner {
                 box_name: me.box_name.clone(),
                 incarnation: me.number,
             },
-            book: Mutex::new(Book::default()),
+            book: Mutex::new(QualityTable::default()),
             watch: Mutex::new(Watch::default()),
             sets: Mutex::new(HashMap::new()),
             known: Mutex::new(HashMap::new()),
@@ -127,7 +129,9 @@
     /// Takes in an answer. Returns whether this box's verdict on the version changed.
     pub fn finished(&self, seen: &Observation, epoch_ms: u64) -> bool {
         let subject = subject(&seen.at, &seen.class, seen.bucket, epoch_ms);
-        lock(&self.book).row(subject, &self.me).finish(seen.failed);
+        lock(&self.book)
+            .counts_mut(subject, &self.me)
+            .add_answer(seen.failed);
         let mut watch = lock(&self.watch);
         let version: Name = seen.at.to_string().into();
         // An upstream that is gone fails all it gets, whatever the version: it counts once.
@@ -150,7 +154,9 @@
     /// Returns whether this box's verdict on the version changed.
     pub fn rated(&self, seen: &Observation, score: f64, expected: f64, epoch_ms: u64) -> bool {
         let subject = subject(&seen.at, &seen.class, seen.bucket, epoch_ms);
-        lock(&self.book).row(subject, &self.me).rate(score);
+        lock(&self.book)
+            .counts_mut(subject, &self.me)
+            .add_rating(score);
         let version: Name = seen.at.to_string().into();
         let is_bad = guard::is_bad_rating(score, expected);
         let mut watch = lock(&self.watch);
@@ -163,7 +169,12 @@
     }
 
     /// Counts by confidence bucket, filled up from other classes; up to 250 ms old.
-    pub fn by_bucket(&self, at: &VersionRef, class: &Name, now_ms: u64) -> [Count; BUCKETS] {
+    pub fn by_bucket(
+        &self,
+        at: &VersionRef,
+        class: &Name,
+        now_ms: u64,
+    ) -> [QualityCounts; CONFIDENCE_BUCKETS] {
         let key = (Name::from(at.to_string()), class.clone());
         let known = lock(&self.known).get(&key).copied();
         if let Some(known) = known
@@ -171,7 +182,7 @@
         {
             return known.buckets;
         }
-        let buckets = lock(&self.book).by_bucket_filled(at, class);
+        let buckets = lock(&self.book).by_bucket_with_fallback(at, class);
         let fresh = Known {
             at_ms: now_ms,
             buckets,
@@ -181,7 +192,7 @@
     }
 
     /// Counts of a version in all classes of a workspace, or of all workspaces.
-    pub fn across_classes(&self, at: &VersionRef, workspace: Option<&str>) -> Count {
+    pub fn across_classes(&self, at: &VersionRef, workspace: Option<&str>) -> QualityCounts {
         let prefix = workspace.map_or(String::new(), |w| format!("{w}/"));
         lock(&self.book).across_classes(at, &prefix)
     }
@@ -254,13 +265,13 @@
     /// Drops what is too old to count.
     pub fn forget(&self, epoch_ms: u64) {
         lock(&self.known).clear();
-        lock(&self.book).forget(epoch_ms);
+        lock(&self.book).drop_old_windows(epoch_ms);
     }
 }
 
 /// `most` of the rows, starting at a place that moves with `turn`; only those are copied.
 fn pick<'b>(
-    rows: impl Iterator<Item = (&'b Subject, &'b Counter, &'b Count)> + Clone,
+    rows: impl Iterator<Item = (&'b CounterKey, &'b CounterOwner, &'b QualityCounts)> + Clone,
     turn: usize,
     most: usize,
 ) -> Vec<Tally> {
@@ -280,12 +291,12 @@
         .collect()
 }
 
-fn subject(at: &VersionRef, class: &Name, bucket: u8, epoch_ms: u64) -> Subject {
-    Subject {
+fn subject(at: &VersionRef, class: &Name, bucket: u8, epoch_ms: u64) -> CounterKey {
+    CounterKey {
         version: at.to_string().into(),
         class: class.clone(),
         bucket,
-        window: Book::window(epoch_ms),
+        window: QualityTable::window(epoch_ms),
     }
 }
 
@@ -297,7 +308,7 @@
     }
 
     /// Notes this box's verdict if it is another than `before`. Returns whether it is.
-    fn judge(&mut self, me: &Counter, version: Name, before: bool) -> bool {
+    fn judge(&mut self, me: &CounterOwner, version: Name, before: bool) -> bool {
         let bad = self.is_bad(&version);
         if bad == before {
             return false;
--- a/crates/ivyweird/src/run.rs
+++ b/crates/ivyweird/src/run.rs
@@ -5,7 +5,7 @@
 use ivyweir_caller::ChatRequest;
 use ivyweir_engine::{Answer, CallError, Completion, Fault, Usage};
 use ivyweir_policy::billing::{Call, Record};
-use ivyweir_policy::quality::bucket;
+use ivyweir_policy::quality::confidence_bucket;
 use ivyweir_policy::{Code, Name, Refusal, VersionRef};
 
 use crate::clock::Clock;
@@ -166,7 +166,7 @@
         held.finish(is_upstream_ok(fault), None, context.moment());
         match called {
             Ok(answer) => {
-                observation.bucket = bucket(answer.confidence.unwrap_or(NO_CONFIDENCE));
+                observation.bucket = confidence_bucket(answer.confidence.unwrap_or(NO_CONFIDENCE));
                 learn(context, &observation, None);
                 return Ok(Answered {
                     at: at.clone(),
@@ -195,7 +195,7 @@
     Observation {
         at: at.clone(),
         class: context.class.clone(),
-        bucket: bucket(NO_CONFIDENCE),
+        bucket: confidence_bucket(NO_CONFIDENCE),
         upstream: held.upstream.name.clone(),
         failed: false,
     }
