--- a/crates/ivyweir-policy/src/lib.rs
+++ b/crates/ivyweir-policy/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod gateway;
 pub mod guard;
 mod intent;
-pub mod member;
+pub mod membership;
 mod plan;
 pub mod quality;
 pub mod rank;
--- a/crates/ivyweir-policy/tests/load.rs
+++ b/crates/ivyweir-policy/tests/load.rs
@@ -6,7 +6,7 @@
 use ivyweir_policy::balance::{Balancer, Policy, Report, Shortage, Upstream, Want};
 use ivyweir_policy::choose::{Candidate, Choice, Needs, choose};
 use ivyweir_policy::guard::Detector;
-use ivyweir_policy::member::{Health, Record, Table, Timing};
+use ivyweir_policy::membership::{GossipTiming, Health, Member, MemberTable};
 use ivyweir_policy::quality::{CONFIDENCE_BUCKETS, QualityCounts};
 use ivyweir_policy::rank::{hash64, mix};
 use ivyweir_policy::retry::{Budget, hint_ms};
@@ -341,8 +341,8 @@
     assert!(!detector.is_bad());
 }
 
-fn member(name: &str, incarnation: u64, heartbeat: u64) -> Record {
-    Record {
+fn member(name: &str, incarnation: u64, heartbeat: u64) -> Member {
+    Member {
         name: name.into(),
         incarnation,
         heartbeat,
@@ -356,8 +356,8 @@
 
 #[test]
 fn a_silent_member_is_suspect_then_dead_then_forgotten_and_not_revived_by_old_news() {
-    let timing = Timing::for_fleet(9);
-    let mut table = Table::new(member("me", 1, 0));
+    let timing = GossipTiming::for_fleet(9);
+    let mut table = MemberTable::new(member("me", 1, 0));
     assert!(table.merge(member("a", 1, 5), 1_000));
     assert_eq!(table.health("a", &timing, 1_000), Health::Alive);
     assert!(
@@ -367,7 +367,7 @@
     let (suspect, dead) = (1_001 + timing.suspect_ms, 1_001 + timing.dead_ms);
     assert_eq!(table.health("a", &timing, suspect), Health::Suspect);
     assert_eq!(table.health("a", &timing, dead), Health::Dead);
-    table.expire(&timing, 1_001 + timing.forget_ms);
+    table.remove_expired(&timing, 1_001 + timing.forget_ms);
     assert!(
         !table.merge(member("a", 1, 900), 70_000),
         "forgotten for good"
@@ -380,12 +380,12 @@
 
 #[test]
 fn news_of_an_older_start_does_not_replace_a_newer_one() {
-    let timing = Timing::for_fleet(9);
-    let mut table = Table::new(member("me", 1, 0));
+    let timing = GossipTiming::for_fleet(9);
+    let mut table = MemberTable::new(member("me", 1, 0));
     table.merge(member("a", 2, 5), 1_000);
     assert!(!table.merge(member("a", 1, 99), 1_000));
     assert_eq!(table.get("a").map(|r| r.incarnation), Some(2));
-    let leaving = Record {
+    let leaving = Member {
         leaving: true,
         ..member("a", 2, 5)
     };
@@ -400,32 +400,32 @@
 #[test]
 fn heartbeats_reach_all_of_a_fleet_within_the_suspect_time() {
     for boxes in [9, 60, 350] {
-        let timing = Timing::for_fleet(boxes);
-        let mut tables: Vec<Table> = (0..boxes)
+        let timing = GossipTiming::for_fleet(boxes);
+        let mut tables: Vec<MemberTable> = (0..boxes)
             .map(|at| {
-                Table::new(Record {
+                MemberTable::new(Member {
                     hall: format!("h{}", at % 4).into(),
                     ..member(&at.to_string(), 1, 0)
                 })
             })
             .collect();
-        let all: Vec<Record> = tables.iter().map(|t| t.me().clone()).collect();
+        let all: Vec<Member> = tables.iter().map(|t| t.local().clone()).collect();
         for table in &mut tables {
             all.iter().for_each(|r| {
                 table.merge(r.clone(), 1);
             });
         }
-        tables[0].beat();
-        let target = tables[0].me().heartbeat;
+        tables[0].increment_heartbeat();
+        let target = tables[0].local().heartbeat;
         let mut now_ms = 1;
-        let has_it = |t: &Table| t.get("0").is_some_and(|r| r.heartbeat >= target);
+        let has_it = |t: &MemberTable| t.get("0").is_some_and(|r| r.heartbeat >= target);
         while !tables.iter().all(has_it) {
             now_ms += timing.period_ms;
             for at in 0..boxes {
-                for partner in tables[at].partners(&timing, now_ms) {
+                for partner in tables[at].next_partners(&timing, now_ms) {
                     let with: usize = partner.parse().expect("addresses are numbers here");
-                    let mine: Vec<Record> = tables[at].records().cloned().collect();
-                    let theirs: Vec<Record> = tables[with].records().cloned().collect();
+                    let mine: Vec<Member> = tables[at].members().cloned().collect();
+                    let theirs: Vec<Member> = tables[with].members().cloned().collect();
                     mine.into_iter().for_each(|r| {
                         tables[with].merge(r, now_ms);
                     });
--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -5,7 +5,7 @@
 use ivyweir_peer::{BOX_LIST_DOCUMENT, CONFIG_DOCUMENT, pb};
 use ivyweir_policy::Name;
 use ivyweir_policy::balance::Report;
-use ivyweir_policy::member::{Beat, Record};
+use ivyweir_policy::membership::{Heartbeat, Member};
 use ivyweir_policy::quality::{CounterKey, CounterOwner, QualityCounts};
 
 use crate::gate::Moment;
@@ -54,9 +54,9 @@
     let current = node.current();
     let generation = current.config.generation;
     let (members, beats, table_digest) = node.with_members(|table, timing, now_ms| {
-        let beats = table.beats(timing, now_ms);
+        let beats = table.heartbeats(timing, now_ms);
         let full = if tell.members {
-            table.records().map(member_out).collect()
+            table.members().map(member_out).collect()
         } else {
             vec![]
         };
@@ -213,7 +213,7 @@
             table.merge(member_in(member), now_ms);
         }
         for beat in beats_in(digest) {
-            table.merge_beat(beat, now_ms);
+            table.merge_heartbeat(beat, now_ms);
         }
         Lacking {
             members: table.digest() != digest.table_digest,
@@ -238,7 +238,7 @@
     held
 }
 
-fn member_out(record: &Record) -> pb::Member {
+fn member_out(record: &Member) -> pb::Member {
     let (successor, successor_incarnation) = record.successor.clone().unwrap_or(("".into(), 0));
     pb::Member {
         r#box: record.name.to_string(),
@@ -253,9 +253,9 @@
     }
 }
 
-fn member_in(member: &pb::Member) -> Record {
+fn member_in(member: &pb::Member) -> Member {
     let successor: Name = member.successor.as_str().into();
-    Record {
+    Member {
         name: member.r#box.as_str().into(),
         incarnation: member.incarnation,
         heartbeat: member.heartbeat,
@@ -272,7 +272,7 @@
 }
 
 /// The heartbeats of a digest; a digest whose lists do not fit together has none.
-fn beats_in(digest: &pb::Digest) -> Vec<Beat> {
+fn beats_in(digest: &pb::Digest) -> Vec<Heartbeat> {
     let count = digest.beat_ids.len();
     if digest.beat_counts.len() != count || digest.beat_lags.len() != count {
         return Vec::new();
@@ -284,7 +284,7 @@
         .max();
     let generation = generation.unwrap_or(0);
     (0..count)
-        .map(|at| Beat {
+        .map(|at| Heartbeat {
             member_id: digest.beat_ids[at],
             heartbeat: u64::from(digest.beat_counts[at]),
             generation: generation.saturating_sub(u64::from(digest.beat_lags[at])),
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -10,7 +10,7 @@
 use ivyweir_platform::{BoxSource, HttpPlatform, ObjectStore};
 use ivyweir_policy::claim::Incarnation;
 use ivyweir_policy::freshness::{self, Freshness, FreshnessEvidence};
-use ivyweir_policy::member::{Record, Table, Timing};
+use ivyweir_policy::membership::{GossipTiming, Member, MemberTable};
 use ivyweir_policy::{BoxState, Code, Name, Refusal};
 use ivyweir_rating::{HttpRater, Rater};
 use ivyweir_service::{HttpService, Service};
@@ -69,7 +69,7 @@
     pub ledger: Ledger,
     /// Requests that run at most once.
     pub once: Once,
-    members: Mutex<Table>,
+    members: Mutex<MemberTable>,
     live_boxes: AtomicU32,
     in_progress: AtomicUsize,
     draining: AtomicBool,
@@ -107,7 +107,7 @@
             let rater: Arc<dyn Rater> = Arc::new(HttpRater::new(url));
             rater
         });
-        let table = Table::new(Record {
+        let table = MemberTable::new(Member {
             name: settings.box_name.clone(),
             incarnation: me.number,
             heartbeat: 0,
@@ -153,15 +153,15 @@
     }
 
     /// Runs `f` with the membership table, its timing and the time.
-    pub fn with_members<T>(&self, f: impl FnOnce(&mut Table, &Timing, u64) -> T) -> T {
+    pub fn with_members<T>(&self, f: impl FnOnce(&mut MemberTable, &GossipTiming, u64) -> T) -> T {
         let mut table = lock(&self.members);
         let timing = self.timing();
         f(&mut table, &timing, self.clock.now_ms())
     }
 
     /// Times that fit the fleet as it is.
-    pub fn timing(&self) -> Timing {
-        Timing::for_fleet(self.live_boxes() as usize)
+    pub fn timing(&self) -> GossipTiming {
+        GossipTiming::for_fleet(self.live_boxes() as usize)
     }
 
     /// Boxes that serve, this one included.
@@ -177,19 +177,19 @@
     }
 
     /// Members that are alive and stay.
-    pub fn serving(&self) -> Vec<Record> {
+    pub fn serving(&self) -> Vec<Member> {
         self.with_members(|table, timing, now_ms| table.serving(timing, now_ms))
     }
 
     /// The record of a member, whatever its health.
-    pub fn member(&self, name: &str) -> Option<Record> {
+    pub fn member(&self, name: &str) -> Option<Member> {
         self.with_members(|table, _, _| table.get(name).cloned())
     }
 
     /// What this box knows about the freshness of its configuration.
     pub fn evidence(&self) -> FreshnessEvidence {
-        let (listed, heard) =
-            self.with_members(|table, timing, now_ms| table.listed_and_heard(timing, now_ms));
+        let (listed, heard) = self
+            .with_members(|table, timing, now_ms| table.listed_and_alive_counts(timing, now_ms));
         FreshnessEvidence {
             proof_age_ms: self.config.proof_age_ms(self.clock.now_ms()),
             listed_boxes: listed,
@@ -200,7 +200,7 @@
     /// Whether some member has a newer configuration than this box.
     pub fn is_behind(&self) -> bool {
         let generation = self.config.generation();
-        self.with_members(|table, _, _| table.records().any(|r| r.generation > generation))
+        self.with_members(|table, _, _| table.members().any(|r| r.generation > generation))
     }
 
     /// Whether this box may serve on its configuration.
--- a/crates/ivyweird/src/operator_api.rs
+++ b/crates/ivyweird/src/operator_api.rs
@@ -7,7 +7,7 @@
     BoxStatus, ExposureStatus, PlanCheck, Problem, RolloutStatus, Status, UpstreamStatus,
 };
 use ivyweir_policy::freshness::Freshness;
-use ivyweir_policy::member::Health;
+use ivyweir_policy::membership::Health;
 use ivyweir_policy::{
     AuditEntry, BoxState, Config, ErrorKind, Intent, Name, Plan, Role, RolloutState, VersionRef,
 };
@@ -208,7 +208,7 @@
 fn boxes(node: &Node) -> Vec<BoxStatus> {
     let mut boxes: Vec<BoxStatus> = node.with_members(|table, timing, now_ms| {
         table
-            .records()
+            .members()
             .map(|r| {
                 let health = match table.health(&r.name, timing, now_ms) {
                     Health::Dead => "dead",
--- a/crates/ivyweird/src/replica.rs
+++ b/crates/ivyweird/src/replica.rs
@@ -7,7 +7,7 @@
 use ivyweir_peer::pb;
 use ivyweir_policy::billing::Record;
 use ivyweir_policy::claim::Incarnation;
-use ivyweir_policy::member::{Health, Record as Member};
+use ivyweir_policy::membership::{Health, Member};
 use ivyweir_policy::rank;
 
 use crate::ledger::Waiting;
--- a/crates/ivyweird/src/segments.rs
+++ b/crates/ivyweird/src/segments.rs
@@ -6,7 +6,7 @@
 use ivyweir_platform::{Expect, PutOutcome};
 use ivyweir_policy::billing::{Record, Segment, segment_name};
 use ivyweir_policy::claim::Incarnation;
-use ivyweir_policy::member::Health;
+use ivyweir_policy::membership::Health;
 
 use crate::node::Node;
 use crate::replica::{Replica, choose_replica, hold_request, send_pending};
--- a/crates/ivyweird/src/spread.rs
+++ b/crates/ivyweird/src/spread.rs
@@ -4,7 +4,7 @@
 
 use ivyweir_peer::{BOX_LIST_DOCUMENT, CONFIG_DOCUMENT, pb};
 use ivyweir_platform::{Expect, Object, PutOutcome, Watched};
-use ivyweir_policy::member::Health;
+use ivyweir_policy::membership::Health;
 use ivyweir_policy::{BoxState, Config, Operator, Role, SessionKey, rank};
 
 use crate::clock::Clock;
@@ -208,7 +208,7 @@
     let Some(list) = node.box_list.offer(body) else {
         return false;
     };
-    node.with_members(|table, _, _| table.apply_list(&list));
+    node.with_members(|table, _, _| table.apply_box_list(&list));
     let moment = Moment {
         now_ms: node.clock.now_ms(),
         live_boxes: node.live_boxes(),
@@ -234,9 +234,9 @@
     while !node.is_stopped() {
         let timing = node.timing();
         let addrs = node.with_members(|table, timing, now_ms| {
-            table.beat();
-            table.expire(timing, now_ms);
-            table.partners(timing, now_ms)
+            table.increment_heartbeat();
+            table.remove_expired(timing, now_ms);
+            table.next_partners(timing, now_ms)
         });
         let mut addrs: Vec<String> = addrs.iter().map(|a| a.to_string()).collect();
         if addrs.is_empty() {
--- a/crates/ivyweird/src/stop.rs
+++ b/crates/ivyweird/src/stop.rs
@@ -18,7 +18,7 @@
 /// Takes no new work and hands the sessions over.
 pub fn drain(node: &Node) {
     node.drain();
-    node.with_members(|table, _, _| table.leave());
+    node.with_members(|table, _, _| table.set_leaving());
     hand_over(node);
 }
 
@@ -44,7 +44,7 @@
             .unwrap_or(false)
         {
             let told = (successor.box_name.clone(), successor.number);
-            node.with_members(|table, _, _| table.succeed(told));
+            node.with_members(|table, _, _| table.set_successor(told));
             log::info!("handed the sessions to {}", successor.box_name);
             return;
         }
