--- a/crates/ivyweir-policy/src/apply.rs
+++ b/crates/ivyweir-policy/src/apply.rs
@@ -211,8 +211,8 @@
             "roll-out, expected a share of at most 1000, 1 step or more, an end after its start";
         return Err(Error::new(ErrorKind::Invalid, text));
     }
-    let id = rollout::id(workspace, &to.model);
-    let from_permille = rollout::share_of(&outcome.config, &id, &to.version);
+    let id = rollout::rollout_id(workspace, &to.model);
+    let from_permille = rollout::share_permille(&outcome.config, &id, &to.version);
     let span = target_permille.saturating_sub(from_permille);
     let rollout = Rollout {
         workspace: workspace.clone(),
@@ -347,7 +347,7 @@
         Intent::PutPool { name, .. } => to_json(&config.pools.get(name)),
         Intent::PutOperator { name, .. } => to_json(&config.operators.get(name)),
         Intent::Roll { workspace, to, .. } => {
-            let id = rollout::id(workspace, &to.model);
+            let id = rollout::rollout_id(workspace, &to.model);
             let allowed = config.workspaces.get(workspace).map(|w| &w.allowed);
             to_json(&(
                 config.models.get(&to.model),
--- a/crates/ivyweir-policy/src/model_selection.rs
+++ b/crates/ivyweir-policy/src/model_selection.rs
@@ -4,7 +4,7 @@
 //! the confidence is too low.
 
 use crate::VersionRef;
-use crate::quality::{BUCKETS, Count, DEFAULT_Z};
+use crate::quality::{CONFIDENCE_BUCKETS, DEFAULT_Z, QualityCounts};
 
 /// Minimum ratings in the accepted confidence buckets for a cascade to be considered.
 const MIN_ACCEPTED_RATINGS: u64 = 12;
@@ -22,7 +22,7 @@
     /// Prior of the quality, used before there are ratings.
     pub prior_quality: f64,
     /// Completed and rated answers by confidence bucket.
-    pub buckets: [Count; BUCKETS],
+    pub buckets: [QualityCounts; CONFIDENCE_BUCKETS],
     /// Whether the version is currently considered unhealthy.
     pub is_bad: bool,
 }
@@ -62,10 +62,10 @@
 }
 
 impl Candidate {
-    fn total_count(&self) -> Count {
+    fn total_count(&self) -> QualityCounts {
         self.buckets
             .iter()
-            .fold(Count::default(), |sum, c| sum.plus(*c))
+            .fold(QualityCounts::default(), |sum, c| sum.plus(*c))
     }
 
     fn forecast(&self) -> Forecast {
@@ -73,7 +73,7 @@
             quality: self
                 .total_count()
                 .estimate(self.prior_quality)
-                .lower(DEFAULT_Z),
+                .lower_bound(DEFAULT_Z),
             cost_micro: self.cost_micro_per_ktoken as f64,
         }
     }
@@ -125,7 +125,7 @@
             if !costs_more {
                 continue;
             }
-            for min_accepted_bucket in 1..BUCKETS as u8 {
+            for min_accepted_bucket in 1..CONFIDENCE_BUCKETS as u8 {
                 let forecast = cascade_forecast(
                     &candidates[first],
                     &candidates[fallback],
@@ -153,14 +153,14 @@
     let accepted = &first.buckets[usize::from(min_accepted_bucket)..];
     let accepted_count = accepted
         .iter()
-        .fold(Count::default(), |sum, c| sum.plus(*c));
+        .fold(QualityCounts::default(), |sum, c| sum.plus(*c));
     if completed == 0 || accepted_count.rated < MIN_ACCEPTED_RATINGS {
         return None;
     }
     let accepted_share = accepted_count.done as f64 / completed as f64;
     let accepted_quality = accepted_count
         .estimate(first.prior_quality)
-        .lower(CASCADE_Z);
+        .lower_bound(CASCADE_Z);
     let fallback_forecast = fallback.forecast();
     let fallback_share = 1.0 - accepted_share;
     Some(Forecast {
@@ -205,7 +205,7 @@
         Some(fallback) if constraints.may_cascade => Some(Choice::Cascade {
             first,
             fallback,
-            min_accepted_bucket: BUCKETS as u8 / 2,
+            min_accepted_bucket: CONFIDENCE_BUCKETS as u8 / 2,
         }),
         _ => Some(Choice::Single(first)),
     }
--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -2,7 +2,7 @@
 
 use ivyweir_caller::{ChatRequest, Reply};
 use ivyweir_policy::Refusal;
-use ivyweir_policy::ledger::Call;
+use ivyweir_policy::billing::Call;
 use ivyweir_policy::model_selection::Choice;
 
 use crate::context::Context;
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -5,7 +5,7 @@
 
 use ivyweir_caller::{Header, Marks};
 use ivyweir_policy::claim::Incarnation;
-use ivyweir_policy::sight::Sight;
+use ivyweir_policy::freshness::Freshness;
 use ivyweir_policy::token::Session;
 use ivyweir_policy::{Code, ErrorKind, Name, Refusal, VersionRef};
 
@@ -176,7 +176,7 @@
     }
 
     fn claim(&self) -> Result<(), Refusal> {
-        if self.session.is_some() && self.node.sight() != Sight::Fresh {
+        if self.session.is_some() && self.node.sight() != Freshness::Fresh {
             // The store is out, and the session's authority is enough.
             return Ok(());
         }
@@ -221,7 +221,7 @@
 
 fn open_session(current: &Current, token: &str, workspace: &str) -> Result<Session, Refusal> {
     let keys = &current.config.session_keys;
-    Session::open(token, keys, workspace, Clock::epoch_ms()).map_err(|e| {
+    Session::from_signed_token(token, keys, workspace, Clock::epoch_ms()).map_err(|e| {
         let code = match e.kind() {
             ErrorKind::Expired => Code::SessionExpired,
             _ => Code::SessionInvalid,
--- a/crates/ivyweird/src/operator_api.rs
+++ b/crates/ivyweird/src/operator_api.rs
@@ -6,8 +6,8 @@
 use ivyweir_operator::{
     BoxStatus, ExposureStatus, PlanCheck, Problem, RolloutStatus, Status, UpstreamStatus,
 };
-use ivyweir_policy::member::Health;
-use ivyweir_policy::sight::Sight;
+use ivyweir_policy::freshness::Freshness;
+use ivyweir_policy::membership::Health;
 use ivyweir_policy::{
     AuditEntry, BoxState, Config, ErrorKind, Intent, Name, Plan, Role, RolloutState, VersionRef,
 };
@@ -144,7 +144,7 @@
             return Err(Refused::new(400, "kind: this intent is the system's own"));
         }
         let current = self.node.current();
-        let plan = Plan::draw(&current.config, intent, self.node.settings.fleet_key())?;
+        let plan = Plan::create(&current.config, intent, self.node.settings.fleet_key())?;
         Ok(json(200, &plan))
     }
 
@@ -189,9 +189,9 @@
 fn status(node: &Node) -> Status {
     let current = node.current();
     let sight = match node.sight() {
-        Sight::Fresh => "fresh",
-        Sight::StoreOut => "store_out",
-        Sight::Blind => "blind",
+        Freshness::Fresh => "fresh",
+        Freshness::StoreUnavailable => "store_out",
+        Freshness::Partitioned => "blind",
     };
     Status {
         seen_from: node.me.box_name.clone(),
@@ -208,7 +208,7 @@
 fn boxes(node: &Node) -> Vec<BoxStatus> {
     let mut boxes: Vec<BoxStatus> = node.with_members(|table, timing, now_ms| {
         table
-            .records()
+            .members()
             .map(|r| {
                 let health = match table.health(&r.name, timing, now_ms) {
                     Health::Dead => "dead",
