--- a/crates/ivyweir-gateway/src/admit.rs
+++ b/crates/ivyweir-gateway/src/admit.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header;
 use hyper::http::request::Parts;
-use ivyweir_policy::gateway::quarantine::{Content, Fingerprint};
+use ivyweir_policy::gateway::quarantine::{Fingerprint, RequestContent};
 use ivyweir_policy::gateway::site::{Access, Route, SiteIndex, Workspace};
 use serde_json::json;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -55,7 +55,7 @@
     let side = gateway.side(&pool, envelope.session, seed);
     let budget_ms = envelope.budget_ms.unwrap_or(route.timeout_ms);
     let deadline_ms = arrived_ms + budget_ms.min(route.timeout_ms);
-    let fingerprint = Fingerprint::of(&Content {
+    let fingerprint = Fingerprint::of(&RequestContent {
         method: head.method.as_str(),
         host,
         path: head.uri.path_and_query().map_or("/", |path| path.as_str()),
--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -115,7 +115,7 @@
     /// Takes in that the connection broke, and finds out whether the upstream itself ended.
     pub fn broke(&mut self) {
         self.outcome(true);
-        self.leave(RunEnd::Broken);
+        self.leave(RunEnd::ConnectionLost);
         self.gateway.run_broke(self.key.fingerprint);
         ends::look(&self.gateway, &self.upstream);
     }
@@ -126,9 +126,9 @@
         // An answer that was put aside may have broken off unread.
         if self.is_running && self.channel.as_ref().is_some_and(Channel::is_closed) {
             ends::look(&self.gateway, &self.upstream);
-            self.leave(RunEnd::Broken);
+            self.leave(RunEnd::ConnectionLost);
         }
-        self.leave(RunEnd::Taken);
+        self.leave(RunEnd::Cancelled);
         let left_ms = self.work_left_ms();
         self.gateway
             .with_load(&self.upstream.id, |load, _| load.end(left_ms));
--- a/crates/ivyweir-gateway/src/state/quarantine.rs
+++ b/crates/ivyweir-gateway/src/state/quarantine.rs
@@ -7,8 +7,8 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::quarantine::{
-    Exchange, Fingerprint, Ledger, LedgerNews, Left, QuarantineRecord, RunEnd, RunKey, Runs,
-    UpstreamEnd, Verdicts, Witness,
+    EndObservation, Fingerprint, InterruptedRun, Ledger, LedgerSync, LedgerUpdate,
+    QuarantineChanges, QuarantineRecord, RunEnd, RunKey, RunRegistry, UpstreamEnd,
 };
 use ivyweir_policy::gateway::rollout::RolloutState;
 use ivyweir_policy::rank::hash64;
@@ -29,9 +29,9 @@
 /// What a box knows of requests under which upstreams end.
 #[derive(Debug)]
 pub struct Quarantine {
-    runs: Runs,
+    runs: RunRegistry,
     ledger: Ledger,
-    exchange: Exchange,
+    exchange: LedgerSync,
     /// Upstreams of which is being found out whether they ended.
     looked_at: HashSet<Name>,
 }
@@ -39,10 +39,10 @@
 impl Default for Quarantine {
     fn default() -> Self {
         Self {
-            runs: Runs::default(),
+            runs: RunRegistry::default(),
             ledger: Ledger::default(),
             // Other boxes tell a box that starts anew by it.
-            exchange: Exchange::new(u64::from(rand::random::<u32>())),
+            exchange: LedgerSync::new(u64::from(rand::random::<u32>())),
             looked_at: HashSet::new(),
         }
     }
@@ -102,7 +102,7 @@
         let now_ms = self.clock.now_ms();
         let verdicts = {
             let mut quarantine = lock(&self.quarantine);
-            quarantine.runs.completed(fingerprint, now_ms);
+            quarantine.runs.record_completion(fingerprint, now_ms);
             quarantine
                 .ledger
                 .completed(fingerprint, now_ms.cast_signed())
@@ -147,7 +147,9 @@
     /// Takes in that a request's connection broke; whether its upstream ended is found out.
     pub fn run_broke(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
-        lock(&self.quarantine).runs.broke(fingerprint, now_ms);
+        lock(&self.quarantine)
+            .runs
+            .record_broken_connection(fingerprint, now_ms);
     }
 
     /// What became of upstreams under a request since it last had a whole answer.
@@ -155,7 +157,7 @@
         let quarantine = lock(&self.quarantine);
         if quarantine.ledger.is_suspect(fingerprint) {
             Suspicion::UpstreamEnded
-        } else if quarantine.runs.is_broken(fingerprint) {
+        } else if quarantine.runs.has_broken_connection(fingerprint) {
             Suspicion::ConnectionBroke
         } else {
             Suspicion::None
@@ -236,9 +238,9 @@
         }
     }
 
-    fn lay_end(&self, upstream: &UpstreamRecord, there: &[Left]) {
+    fn lay_end(&self, upstream: &UpstreamRecord, there: &[InterruptedRun]) {
         let upstream = hash64(&[upstream.id.as_bytes()]);
-        let witness = |left: &Left| Witness {
+        let witness = |left: &InterruptedRun| EndObservation {
             fingerprint: left.key.fingerprint,
             end: UpstreamEnd {
                 upstream,
@@ -248,7 +250,7 @@
             },
             completed_at_ms: left.completed_at_ms.map(u64::cast_signed),
         };
-        let there: Vec<Witness> = there.iter().map(witness).collect();
+        let there: Vec<EndObservation> = there.iter().map(witness).collect();
         let verdicts = lock(&self.quarantine).ledger.upstream_ended(&there);
         self.take_verdicts(verdicts);
     }
@@ -267,22 +269,22 @@
     }
 
     /// What a box is to be told of requests under which upstreams ended.
-    pub fn ledger_news_for(&self, peer: &Name) -> Option<LedgerNews> {
+    pub fn ledger_news_for(&self, peer: &Name) -> Option<LedgerUpdate> {
         let now_ms = self.ledger_now_ms();
         let Quarantine {
             ledger, exchange, ..
         } = &mut *lock(&self.quarantine);
-        exchange.news_for(peer, ledger, now_ms)
+        exchange.update_for(peer, ledger, now_ms)
     }
 
     /// Takes in what a box told of them.
-    pub fn hear_ledger(&self, peer: &Name, news: LedgerNews) {
+    pub fn hear_ledger(&self, peer: &Name, news: LedgerUpdate) {
         let now_ms = self.ledger_now_ms();
         let verdicts = {
             let Quarantine {
                 ledger, exchange, ..
             } = &mut *lock(&self.quarantine);
-            exchange.hear(peer, news, ledger, now_ms)
+            exchange.receive(peer, news, ledger, now_ms)
         };
         self.take_verdicts(verdicts);
     }
@@ -298,7 +300,7 @@
         self.take_verdicts(verdicts);
     }
 
-    fn take_verdicts(&self, verdicts: Verdicts) {
+    fn take_verdicts(&self, verdicts: QuarantineChanges) {
         if !verdicts.quarantined.is_empty() {
             self.urgent.notify_one();
         }
--- a/crates/ivyweir-policy/src/gateway/quarantine.rs
+++ b/crates/ivyweir-policy/src/gateway/quarantine.rs
@@ -1,21 +1,25 @@
-//! Requests under which upstreams end, and how boxes agree to send them no more.
+//! Quarantine of requests that repeatedly terminate the upstreams running them.
 //!
-//! A request may end each upstream that begins to run it, and callers send it again, at any box. Boxes know
-//! such a request by its [`Fingerprint`], since each try has another id. They remember which requests were at an
-//! upstream when it ended ([`Runs`]), add up what each of them saw ([`Ledger`], [`Exchange`]), and refuse a
-//! request that was there three times and never came to its end.
+//! A request may crash every upstream that starts to run it, and callers retry it through any box.
+//! Each try has a different id, so boxes identify such a request by the [`Fingerprint`] of its
+//! content. They track which requests were at an upstream when it terminated ([`RunRegistry`]),
+//! merge their observations ([`Ledger`], [`LedgerSync`]), and refuse a request that was present at
+//! three terminations and never completed.
 //!
-//! An upstream that ends takes innocent requests with it, and these go on elsewhere together with the
-//! harmful one. Three things tell them apart: a whole answer clears a request; an end is laid to the request
-//! with the most ends; and a request under which an upstream ended is placed by its own hash, so that those
-//! that were together are so no more.
+//! A terminating upstream interrupts innocent requests too, and these are retried elsewhere
+//! together with the harmful one. Three rules separate them: a complete answer clears a request; a
+//! termination is attributed to the request with the most terminations; and a request that was
+//! present at a termination is placed by its own hash, so that requests that were together are
+//! spread over different upstreams.
 
-mod exchange;
 mod fingerprint;
 mod ledger;
 mod runs;
+mod sync;
 
-pub use exchange::{Exchange, LedgerNews};
-pub use fingerprint::{Content, Fingerprint};
-pub use ledger::{Ledger, QuarantineRecord, SuspectNews, UpstreamEnd, Verdicts, Witness};
-pub use runs::{Left, RunEnd, RunKey, Runs};
+pub use fingerprint::{Fingerprint, RequestContent};
+pub use ledger::{
+    EndObservation, Ledger, QuarantineChanges, QuarantineRecord, SuspectUpdate, UpstreamEnd,
+};
+pub use runs::{InterruptedRun, RunEnd, RunKey, RunRegistry};
+pub use sync::{LedgerSync, LedgerUpdate};
--- a/crates/ivyweir-policy/src/gateway/quarantine/fingerprint.rs
+++ b/crates/ivyweir-policy/src/gateway/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What two tries of the same request have in common.
+//! Identification of retries of the same request.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -8,44 +8,45 @@
 
 use crate::rank::hash64;
 
-/// What makes a request the same as an earlier one. Its id, its deadline and what a caller says of the prompt
-/// differ from try to try; the host, the path, the caller and the body do not.
+/// The parts of a request that identify it across tries. Its id, its deadline and the prompt
+/// metadata given by the caller differ from try to try; the host, the path, the caller and the body
+/// do not.
 #[derive(Debug, Clone, Copy)]
-pub struct Content<'a> {
-    /// The method.
+pub struct RequestContent<'a> {
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that the caller named.
+    /// Host named by the caller.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The caller's workspace; none where the route needs no key. A caller that changes its key stays the
-    /// same.
+    /// Workspace of the caller; `None` where the route needs no key. The workspace is hashed
+    /// instead of the key, so that a caller that changes its key keeps its fingerprint.
     pub workspace: Option<&'a str>,
-    /// The whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
-/// Identity of a request's content: 64 bits of a cryptographic hash, so that no caller can make a request
-/// with the fingerprint of another's.
+/// Identity of a request's content: 64 bits of a cryptographic hash, so that no caller can craft a
+/// request with the fingerprint of another one.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request.
-    pub fn of(content: &Content) -> Self {
-        let is_keyed = [u8::from(content.workspace.is_some())];
+    /// Computes the fingerprint of a request.
+    pub fn of(content: &RequestContent) -> Self {
+        let has_workspace = [u8::from(content.workspace.is_some())];
         Self(hash64(&[
             content.method.as_bytes(),
             content.host.as_bytes(),
             content.path.as_bytes(),
-            &is_keyed,
+            &has_workspace,
             content.workspace.unwrap_or_default().as_bytes(),
             content.body,
         ]))
     }
 
-    /// The bits of the hash, for placing by rendezvous.
+    /// Bits of the hash, as a key for rendezvous hashing.
     pub fn bits(self) -> u64 {
         self.0
     }
@@ -54,7 +55,7 @@
 impl FromStr for Fingerprint {
     type Err = ParseIntError;
 
-    /// Reads the 16 hexadecimal digits that `Display` writes.
+    /// Parses the 16 hexadecimal digits that `Display` writes.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         u64::from_str_radix(text, 16).map(Self)
     }
--- a/crates/ivyweir-policy/src/gateway/quarantine/ledger.rs
+++ b/crates/ivyweir-policy/src/gateway/quarantine/ledger.rs
@@ -1,7 +1,7 @@
-//! Which requests were at upstreams that ended, as far as the fleet knows.
+//! Requests that were running at upstreams when these terminated, as known to the fleet.
 //!
-//! Entries of two ledgers are joined, whichever of them comes first and however often, so boxes that tell each
-//! other theirs come to the same one.
+//! Merging entries of two ledgers is commutative and idempotent, so boxes that exchange their
+//! ledgers converge to the same one.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,75 +9,84 @@
 
 use super::Fingerprint;
 
-/// Ends of upstreams after which a request is sent no more. A request that was at two may have met a power cut and
-/// a spot reclaim; with a sixth of a pool lost at a moment, one stream in 216 meets three such losses in a row, by reckoning.
-const ENDS: usize = 3;
-/// Ends after which a request is refused whatever else was there each time. Where two requests do harm at once an innocent
-/// one may have been at more ends than either, and theirs would be laid to it.
-const ENDS_AT_MOST: usize = 5;
-/// Ends that are remembered of a request: of more, the first say as much.
-const ENDS_KEPT: usize = 32;
-/// Requests that are remembered.
-const SUSPECTS_KEPT: usize = 1_024;
-/// Ends closer to each other than this count as one, for they may be one loss of many upstreams, as of a hall without
-/// power; boxes see such ends within some 30 ms. They are apart all the same where the request was sent to the second
-/// upstream after the first had ended, or where two tries of a request that never had a whole answer were there.
-const APART_MS: i64 = 100;
-/// Difference up to which two sightings of an upstream's end are the same: ages are rounded on their way.
-const SEEN_AGAIN_MS: i64 = 50;
-/// Time since its last end for which a request is remembered, quarantined or not. A caller that repeats a request by
-/// the hour ends three upstreams each time; one that is mended meanwhile is refused for no longer.
-const KEPT_MS: i64 = 3_600_000;
-
-/// An upstream's end under a request.
+/// Terminations after which a request is quarantined. A request at two terminations may have met a
+/// power cut and a spot reclaim. With a sixth of a pool lost at a time, one stream in 216 is
+/// calculated to meet three such losses in a row.
+const QUARANTINE_ENDS: usize = 3;
+/// Terminations after which a request is quarantined whatever else was running each time. Where two
+/// requests are harmful at the same time, an innocent one may have been at more terminations than
+/// either, and those of the harmful ones would be attributed to it.
+const UNCONDITIONAL_QUARANTINE_ENDS: usize = 5;
+/// Limit of terminations remembered for a request; further ones add no information.
+const MAX_ENDS_PER_SUSPECT: usize = 32;
+/// Limit of remembered requests.
+const MAX_SUSPECTS: usize = 1_024;
+/// Terminations closer to each other than this count as one, since they may be a single loss of
+/// many upstreams, such as a power failure of a hall; boxes detect such terminations within some 30
+/// ms. They are independent all the same where the request was sent to the second upstream after
+/// the first had terminated, or where two different tries of a request that never completed were
+/// running.
+const INDEPENDENT_END_GAP_MS: i64 = 100;
+/// Difference up to which two observations of the termination of an upstream are the same; ages are
+/// rounded when boxes exchange them.
+const SAME_END_TOLERANCE_MS: i64 = 50;
+/// Time since its last termination for which a request is remembered, quarantined or not. A caller
+/// that repeats a harmful request every hour terminates three upstreams each time; a request whose
+/// cause was fixed in the meantime is refused no longer than this.
+const RETENTION_MS: i64 = 3_600_000;
+
+/// The termination of an upstream while a request was running there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamEnd {
     /// Hash of the upstream's incarnation.
     pub upstream: u64,
-    /// Hash of the id of the try that was there.
+    /// Hash of the id of the interrupted try.
     pub try_hash: u32,
-    /// When the request was sent there, by this box's clock.
+    /// When the request was sent to the upstream, by the clock of this box.
     pub began_at_ms: i64,
-    /// When it ended.
+    /// When the upstream terminated.
     pub at_ms: i64,
 }
 
 impl UpstreamEnd {
-    /// Whether it is none of those that ended together with an earlier one.
-    fn is_apart(&self, earlier: &Self, was_answered: bool) -> bool {
+    /// Whether this termination has another cause than an earlier one, as far as their times and
+    /// tries tell.
+    fn is_independent_of(&self, earlier: &Self, has_completed: bool) -> bool {
         self.began_at_ms >= earlier.at_ms
-            || self.at_ms - earlier.at_ms >= APART_MS
-            || !was_answered && self.try_hash != earlier.try_hash
+            || self.at_ms - earlier.at_ms >= INDEPENDENT_END_GAP_MS
+            || !has_completed && self.try_hash != earlier.try_hash
     }
 }
 
-/// A request that was at an upstream when it ended.
+/// Observation of a request that was running at an upstream when it terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Witness {
-    /// The request.
+pub struct EndObservation {
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The upstream's end.
+    /// The termination.
     pub end: UpstreamEnd,
-    /// When the request last had a whole answer before that, where the box remembers one.
+    /// When the request last completed before the termination, where the box remembers it.
     pub completed_at_ms: Option<i64>,
 }
 
-/// What is known of a request.
+/// Known state of a request.
 #[derive(Debug, Clone, Default)]
 struct Suspect {
-    /// Ends since it last had a whole answer.
+    /// Terminations since the request last completed.
     ends: Vec<UpstreamEnd>,
-    /// When it last had one, as far as is known, or an operator lifted its quarantine.
+    /// When it last completed, as far as is known, or when an operator lifted its quarantine.
     cleared_at_ms: Option<i64>,
-    /// Whether some box quarantined it: that one saw the ends apart, and here they may seem closer.
-    is_told: bool,
-    /// Number of the ledger's change that changed it last.
-    changed: u64,
+    /// Whether another box quarantined the request. That box saw the terminations as independent;
+    /// in the local record their times may be too close to each other.
+    is_quarantined_elsewhere: bool,
+    /// Number of the ledger change that last modified this entry.
+    last_change: u64,
 }
 
 impl Suspect {
-    /// Takes in an end; returns whether that is news. The order in which ends are heard makes no difference.
-    fn add(&mut self, end: UpstreamEnd) -> bool {
+    /// Adds a termination; returns whether it changed the entry. The order in which terminations
+    /// are added makes no difference.
+    fn add_end(&mut self, end: UpstreamEnd) -> bool {
         if self.cleared_at_ms.is_some_and(|at_ms| end.at_ms <= at_ms) {
             return false;
         }
@@ -86,13 +95,13 @@
             .iter_mut()
             .find(|known| known.upstream == end.upstream);
         match known {
-            // An upstream ends once; who noticed it last saw it last.
-            Some(known) if known.at_ms + SEEN_AGAIN_MS >= end.at_ms => return false,
+            // An upstream terminates once, so the latest observation replaces earlier ones.
+            Some(known) if known.at_ms + SAME_END_TOLERANCE_MS >= end.at_ms => return false,
             Some(known) => *known = end,
             None => self.ends.push(end),
         }
         self.ends.sort_by_key(|end| (end.at_ms, end.upstream));
-        if self.ends.len() > ENDS_KEPT {
+        if self.ends.len() > MAX_ENDS_PER_SUSPECT {
             let most = self.ends.iter().map(|end| end.upstream).max();
             self.ends.retain(|end| Some(end.upstream) != most);
             return Some(end.upstream) != most;
@@ -100,28 +109,31 @@
         true
     }
 
-    /// Takes in that it had a whole answer; returns whether that is news.
+    /// Records that the request completed; returns whether that changed the entry.
     fn clear(&mut self, at_ms: i64) -> bool {
         if self.cleared_at_ms.is_some_and(|known_ms| known_ms >= at_ms) {
             return false;
         }
         self.cleared_at_ms = Some(at_ms);
         self.ends.retain(|end| end.at_ms > at_ms);
-        self.is_told &= !self.ends.is_empty();
+        self.is_quarantined_elsewhere &= !self.ends.is_empty();
         true
     }
 
-    /// Its ends that are not laid to another request.
-    fn weight(&self, laid: &HashSet<u64>) -> usize {
-        let open = self.ends.iter().filter(|end| !laid.contains(&end.upstream));
-        if self.is_told {
-            return open.count();
+    /// Number of independent terminations that are not attributed to another request.
+    fn unattributed_ends(&self, attributed: &HashSet<u64>) -> usize {
+        let unattributed = self
+            .ends
+            .iter()
+            .filter(|end| !attributed.contains(&end.upstream));
+        if self.is_quarantined_elsewhere {
+            return unattributed.count();
         }
-        let was_answered = self.cleared_at_ms.is_some();
+        let has_completed = self.cleared_at_ms.is_some();
         let mut last: Option<&UpstreamEnd> = None;
         let mut count = 0;
-        for end in open {
-            if last.is_none_or(|last| end.is_apart(last, was_answered)) {
+        for end in unattributed {
+            if last.is_none_or(|last| end.is_independent_of(last, has_completed)) {
                 count += 1;
                 last = Some(end);
             }
@@ -135,24 +147,25 @@
     }
 }
 
-/// What one box tells another of an upstream's end. Clocks of boxes differ, so times are told as ages.
+/// Termination of an upstream as sent to another box. Clocks of boxes differ, so times are sent as
+/// ages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndNews {
+pub struct EndUpdate {
     /// Hash of the upstream's incarnation.
     #[serde(rename = "u")]
     upstream: u64,
-    /// Hash of the id of the try.
+    /// Hash of the id of the interrupted try.
     #[serde(rename = "t")]
     try_hash: u32,
-    /// How long ago it ended, in milliseconds.
+    /// Time since the termination, in milliseconds.
     #[serde(rename = "ago")]
     ago_ms: i64,
-    /// How long the request had been there, in milliseconds.
+    /// Time for which the request had been at the upstream, in milliseconds.
     #[serde(rename = "ran")]
     ran_ms: i64,
 }
 
-impl EndNews {
+impl EndUpdate {
     fn of(end: &UpstreamEnd, now_ms: i64) -> Self {
         Self {
             upstream: end.upstream,
@@ -162,7 +175,7 @@
         }
     }
 
-    fn heard(&self, now_ms: i64) -> UpstreamEnd {
+    fn to_end(&self, now_ms: i64) -> UpstreamEnd {
         let at_ms = now_ms.saturating_sub(self.ago_ms);
         UpstreamEnd {
             upstream: self.upstream,
@@ -173,45 +186,45 @@
     }
 }
 
-/// What one box tells another of a request.
+/// Entry of the ledger as sent to another box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNews {
-    /// The request.
+pub struct SuspectUpdate {
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Upstreams that ended under it.
-    pub ends: Vec<EndNews>,
-    /// How long ago it had a whole answer, in milliseconds.
+    /// Terminations since the request last completed.
+    pub ends: Vec<EndUpdate>,
+    /// Time since the request last completed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cleared_ago_ms: Option<i64>,
-    /// Whether the box that tells it refuses it.
+    /// Whether the sending box refuses the request.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub is_quarantined: bool,
 }
 
-/// A quarantine as the store keeps it for boxes that all lost their memory at once.
+/// A quarantine as kept in the store, for the case that all boxes lose their ledgers at once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRecord {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Hashes of the upstreams that ended under it.
+    /// Hashes of the upstreams that terminated while the request was running there.
     pub upstreams: Vec<u64>,
-    /// When the last of them ended, in milliseconds since 1970 by the writer's clock.
+    /// When the last of them terminated, in milliseconds since 1970 by the clock of the writer.
     pub last_end_epoch_ms: u64,
 }
 
 impl QuarantineRecord {
-    /// What it tells a box; a time of day may step, so the age is taken to be half of a quarantine's time at
-    /// the most.
-    fn told(&self, epoch_ms: u64) -> SuspectNews {
+    /// Converts the record to a ledger entry. Wall-clock times may jump, so the age is limited to
+    /// half of the retention time.
+    fn to_update(&self, epoch_ms: u64) -> SuspectUpdate {
         let ago_ms = epoch_ms.saturating_sub(self.last_end_epoch_ms);
-        let ago_ms = ago_ms.min(KEPT_MS.unsigned_abs() / 2).cast_signed();
-        let end = |upstream: &u64| EndNews {
+        let ago_ms = ago_ms.min(RETENTION_MS.unsigned_abs() / 2).cast_signed();
+        let end = |upstream: &u64| EndUpdate {
             upstream: *upstream,
             try_hash: 0,
             ago_ms,
             ran_ms: 0,
         };
-        SuspectNews {
+        SuspectUpdate {
             fingerprint: self.fingerprint,
             ends: self.upstreams.iter().map(end).collect(),
             cleared_ago_ms: None,
@@ -220,51 +233,53 @@
     }
 }
 
-/// What a change of the ledger decided.
+/// Quarantines that a change of the ledger started or ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Verdicts {
-    /// Requests that are refused from now on, and the number of their ends.
+pub struct QuarantineChanges {
+    /// Requests refused from now on, with the number of their terminations.
     pub quarantined: Vec<(Fingerprint, usize)>,
-    /// Requests that are served again.
+    /// Requests served again.
     pub released: Vec<Fingerprint>,
 }
 
-impl Verdicts {
-    /// Whether nothing was decided.
+impl QuarantineChanges {
+    /// Whether no quarantine started or ended.
     pub fn is_empty(&self) -> bool {
         self.quarantined.is_empty() && self.released.is_empty()
     }
 }
 
-/// Requests under which upstreams ended.
+/// Merged observations of requests that were running at terminating upstreams.
 #[derive(Debug, Default)]
 pub struct Ledger {
     suspects: HashMap<Fingerprint, Suspect>,
     quarantined: HashSet<Fingerprint>,
-    changes: u64,
+    last_change: u64,
 }
 
 impl Ledger {
-    /// Takes in that an upstream ended while these requests were there.
-    pub fn upstream_ended(&mut self, there: &[Witness]) -> Verdicts {
-        let mut any = false;
-        for witness in there {
-            any |= self.change(witness.fingerprint, |suspect| {
-                let is_cleared = witness.completed_at_ms.is_some_and(|ms| suspect.clear(ms));
-                suspect.add(witness.end) | is_cleared
+    /// Records that an upstream terminated while these requests were running there.
+    pub fn upstream_ended(&mut self, observations: &[EndObservation]) -> QuarantineChanges {
+        let mut is_changed = false;
+        for observation in observations {
+            is_changed |= self.change(observation.fingerprint, |suspect| {
+                let is_cleared = observation
+                    .completed_at_ms
+                    .is_some_and(|ms| suspect.clear(ms));
+                suspect.add_end(observation.end) | is_cleared
             });
         }
-        self.judge_if(any)
+        self.evaluate_if(is_changed)
     }
 
-    /// Takes in that a request had a whole answer. What never was at an upstream that ended is not remembered.
-    pub fn completed(&mut self, fingerprint: Fingerprint, at_ms: i64) -> Verdicts {
+    /// Records that a request completed. Requests without recorded terminations are not remembered.
+    pub fn completed(&mut self, fingerprint: Fingerprint, at_ms: i64) -> QuarantineChanges {
         let is_suspect = |suspect: &Suspect| !suspect.ends.is_empty();
         if !self.suspects.get(&fingerprint).is_some_and(is_suspect) {
-            return Verdicts::default();
+            return QuarantineChanges::default();
         }
-        let any = self.change(fingerprint, |suspect| suspect.clear(at_ms));
-        self.judge_if(any)
+        let is_changed = self.change(fingerprint, |suspect| suspect.clear(at_ms));
+        self.evaluate_if(is_changed)
     }
 
     /// Whether a request is refused.
@@ -272,74 +287,84 @@
         self.quarantined.contains(&fingerprint)
     }
 
-    /// Whether an upstream ended under a request since it last had a whole answer.
+    /// Whether an upstream terminated while the request was running there since it last completed.
     pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         let suspect = self.suspects.get(&fingerprint);
         suspect.is_some_and(|suspect| !suspect.ends.is_empty())
     }
 
-    /// Requests that are refused.
+    /// Fingerprints of the refused requests.
     pub fn quarantined(&self) -> impl Iterator<Item = Fingerprint> {
         self.quarantined.iter().copied()
     }
 
-    /// Number of its last change.
-    pub fn changes(&self) -> u64 {
-        self.changes
+    /// Number of the last change.
+    pub fn last_change(&self) -> u64 {
+        self.last_change
     }
 
-    /// At most `limit` entries that changed behind the change `since`, the oldest change first, and the change up to which these
-    /// tell all.
-    pub fn news(&self, since: u64, limit: usize, now_ms: i64) -> (Vec<SuspectNews>, u64) {
-        if since >= self.changes {
-            return (Vec::new(), self.changes);
+    /// Returns at most `limit` entries that changed after change `since`, the oldest change first,
+    /// and the number of the change up to which they are complete.
+    pub fn updates_since(
+        &self,
+        since: u64,
+        limit: usize,
+        now_ms: i64,
+    ) -> (Vec<SuspectUpdate>, u64) {
+        if since >= self.last_change {
+            return (Vec::new(), self.last_change);
         }
         let changed = self.suspects.iter();
-        let mut changed: Vec<_> = changed.filter(|(_, s)| s.changed > since).collect();
-        changed.sort_unstable_by_key(|(_, suspect)| suspect.changed);
+        let mut changed: Vec<_> = changed.filter(|(_, s)| s.last_change > since).collect();
+        changed.sort_unstable_by_key(|(_, suspect)| suspect.last_change);
         let is_all = changed.len() <= limit;
         changed.truncate(limit);
-        let last = changed.last().map_or(since, |(_, suspect)| suspect.changed);
-        let tell = |(fingerprint, suspect): (&Fingerprint, &Suspect)| SuspectNews {
+        let last = changed
+            .last()
+            .map_or(since, |(_, suspect)| suspect.last_change);
+        let to_update = |(fingerprint, suspect): (&Fingerprint, &Suspect)| SuspectUpdate {
             fingerprint: *fingerprint,
             ends: suspect
                 .ends
                 .iter()
-                .map(|end| EndNews::of(end, now_ms))
+                .map(|end| EndUpdate::of(end, now_ms))
                 .collect(),
             cleared_ago_ms: suspect.cleared_at_ms.map(|at_ms| now_ms - at_ms),
             is_quarantined: self.is_quarantined(*fingerprint),
         };
-        let news = changed.into_iter().map(tell).collect();
-        (news, if is_all { self.changes } else { last })
+        let updates = changed.into_iter().map(to_update).collect();
+        (updates, if is_all { self.last_change } else { last })
     }
 
-    /// Takes in what another box told.
-    pub fn hear(&mut self, news: Vec<SuspectNews>, now_ms: i64) -> Verdicts {
-        let mut any = false;
-        for told in news {
-            any |= self.change(told.fingerprint, |suspect| join(suspect, &told, now_ms));
+    /// Merges entries received from another box.
+    pub fn merge(&mut self, updates: Vec<SuspectUpdate>, now_ms: i64) -> QuarantineChanges {
+        let mut is_changed = false;
+        for update in updates {
+            is_changed |= self.change(update.fingerprint, |suspect| {
+                merge_entry(suspect, &update, now_ms)
+            });
         }
-        self.judge_if(any)
+        self.evaluate_if(is_changed)
     }
 
-    /// Takes in what the store keeps.
+    /// Merges quarantines read from the store.
     pub fn restore(
         &mut self,
         records: &[QuarantineRecord],
         now_ms: i64,
         epoch_ms: u64,
-    ) -> Verdicts {
-        let told = records.iter().map(|record| record.told(epoch_ms));
-        self.hear(told.collect(), now_ms)
+    ) -> QuarantineChanges {
+        let updates = records.iter().map(|record| record.to_update(epoch_ms));
+        self.merge(updates.collect(), now_ms)
     }
 
-    /// Takes in that an operator lifts a quarantine.
-    pub fn lift(&mut self, fingerprint: Fingerprint, now_ms: i64) -> Verdicts {
+    /// Lifts a quarantine on behalf of an operator.
+    pub fn lift(&mut self, fingerprint: Fingerprint, now_ms: i64) -> QuarantineChanges {
         self.completed(fingerprint, now_ms)
     }
 
-    /// A request's quarantine as the store is to keep it; none where it is not refused.
+    /// Returns the quarantine record of a request for the store; `None` where the request is not
+    /// refused.
     pub fn record(
         &self,
         fingerprint: Fingerprint,
@@ -357,15 +382,15 @@
         })
     }
 
-    /// Forgets what is long past.
-    pub fn sweep(&mut self, now_ms: i64) -> Verdicts {
+    /// Removes entries past their retention time.
+    pub fn sweep(&mut self, now_ms: i64) -> QuarantineChanges {
         let before = self.suspects.len();
-        let is_kept = |suspect: &Suspect| now_ms - suspect.last_ms() < KEPT_MS;
+        let is_kept = |suspect: &Suspect| now_ms - suspect.last_ms() < RETENTION_MS;
         self.suspects.retain(|_, suspect| is_kept(suspect));
-        self.judge_if(self.suspects.len() != before)
+        self.evaluate_if(self.suspects.len() != before)
     }
 
-    /// Changes an entry; returns whether that was a change.
+    /// Modifies an entry; returns whether that changed it.
     fn change(
         &mut self,
         fingerprint: Fingerprint,
@@ -374,19 +399,20 @@
         let suspect = self.suspects.entry(fingerprint).or_default();
         let is_changed = change(suspect);
         if is_changed {
-            self.changes += 1;
-            suspect.changed = self.changes;
-        } else if suspect.changed == 0 {
+            self.last_change += 1;
+            suspect.last_change = self.last_change;
+        } else if suspect.last_change == 0 {
             self.suspects.remove(&fingerprint);
         }
-        if self.suspects.len() > SUSPECTS_KEPT {
-            self.drop_one();
+        if self.suspects.len() > MAX_SUSPECTS {
+            self.evict_one();
         }
         is_changed
     }
 
-    /// Forgets the request with the fewest ends, the oldest of them.
-    fn drop_one(&mut self) {
+    /// Evicts the request with the fewest terminations, the oldest of them first; quarantined ones
+    /// last.
+    fn evict_one(&mut self) {
         let least = |(fingerprint, suspect): &(&Fingerprint, &Suspect)| {
             let is_quarantined = self.quarantined.contains(*fingerprint);
             (is_quarantined, suspect.ends.len(), suspect.last_ms())
@@ -397,36 +423,39 @@
         }
     }
 
-    fn judge_if(&mut self, is_changed: bool) -> Verdicts {
+    fn evaluate_if(&mut self, is_changed: bool) -> QuarantineChanges {
         if is_changed {
-            self.judge()
+            self.evaluate()
         } else {
-            Verdicts::default()
+            QuarantineChanges::default()
         }
     }
 
-    /// Lays each end to the request with the most ends, and finds those that are refused by that.
-    fn judge(&mut self) -> Verdicts {
+    /// Attributes each termination to the request with the most terminations, and quarantines the
+    /// requests that reach the limit this way.
+    fn evaluate(&mut self) -> QuarantineChanges {
         let before = std::mem::take(&mut self.quarantined);
-        let none_laid = HashSet::new();
-        let mut laid = HashSet::new();
+        let none_attributed = HashSet::new();
+        let mut attributed = HashSet::new();
         loop {
-            let weights = self.suspects.iter();
-            let weights =
-                weights.filter(|(f, s)| s.ends.len() >= ENDS && !self.quarantined.contains(f));
-            let weights: Vec<(Fingerprint, usize)> = weights
-                .map(|(fingerprint, suspect)| (*fingerprint, suspect.weight(&laid)))
+            let candidates = self.suspects.iter();
+            let candidates = candidates
+                .filter(|(f, s)| s.ends.len() >= QUARANTINE_ENDS && !self.quarantined.contains(f));
+            let counts: Vec<(Fingerprint, usize)> = candidates
+                .map(|(fingerprint, suspect)| {
+                    (*fingerprint, suspect.unattributed_ends(&attributed))
+                })
                 .collect();
-            let most = weights.iter().map(|(_, weight)| *weight).max();
-            let Some(most) = most.filter(|most| *most >= ENDS) else {
+            let most = counts.iter().map(|(_, count)| *count).max();
+            let Some(most) = most.filter(|most| *most >= QUARANTINE_ENDS) else {
                 break;
             };
-            // Nothing tells apart those that were together each time.
-            for (fingerprint, _) in weights.iter().filter(|(_, weight)| *weight == most) {
+            // Requests that were together at every termination cannot be told apart.
+            for (fingerprint, _) in counts.iter().filter(|(_, count)| *count == most) {
                 self.quarantined.insert(*fingerprint);
             }
             for fingerprint in &self.quarantined {
-                laid.extend(
+                attributed.extend(
                     self.suspects[fingerprint]
                         .ends
                         .iter()
@@ -434,41 +463,45 @@
                 );
             }
         }
-        let sure = self.suspects.iter();
-        let sure = sure.filter(|(_, suspect)| suspect.weight(&none_laid) >= ENDS_AT_MOST);
+        let unconditional = self.suspects.iter();
+        let unconditional = unconditional.filter(|(_, suspect)| {
+            suspect.unattributed_ends(&none_attributed) >= UNCONDITIONAL_QUARANTINE_ENDS
+        });
         self.quarantined
-            .extend(sure.map(|(fingerprint, _)| *fingerprint));
-        self.verdicts(&before)
+            .extend(unconditional.map(|(fingerprint, _)| *fingerprint));
+        self.quarantine_changes(&before)
     }
 
-    /// What differs from the requests refused before; a request that is refused from now on is told anew.
-    fn verdicts(&mut self, before: &HashSet<Fingerprint>) -> Verdicts {
+    /// Compares with the requests refused before. A newly refused request is marked as changed, so
+    /// that it is sent to other boxes again.
+    fn quarantine_changes(&mut self, before: &HashSet<Fingerprint>) -> QuarantineChanges {
         let new = self.quarantined.difference(before);
         let quarantined: Vec<(Fingerprint, usize)> =
             new.map(|f| (*f, self.suspects[f].ends.len())).collect();
         let released = before.difference(&self.quarantined).copied().collect();
         for (fingerprint, _) in &quarantined {
             if let Some(suspect) = self.suspects.get_mut(fingerprint) {
-                self.changes += 1;
-                suspect.changed = self.changes;
+                self.last_change += 1;
+                suspect.last_change = self.last_change;
             }
         }
-        Verdicts {
+        QuarantineChanges {
             quarantined,
             released,
         }
     }
 }
 
-/// Joins what was told to what is known; returns whether that changed it.
-fn join(suspect: &mut Suspect, told: &SuspectNews, now_ms: i64) -> bool {
-    let mut is_changed = told
+/// Merges a received entry into a known one; returns whether that changed it.
+fn merge_entry(suspect: &mut Suspect, update: &SuspectUpdate, now_ms: i64) -> bool {
+    let mut is_changed = update
         .cleared_ago_ms
         .is_some_and(|ago_ms| suspect.clear(now_ms.saturating_sub(ago_ms)));
-    for end in &told.ends {
-        is_changed |= suspect.add(end.heard(now_ms));
+    for end in &update.ends {
+        is_changed |= suspect.add_end(end.to_end(now_ms));
     }
-    let is_newly_told = told.is_quarantined && !suspect.is_told && !suspect.ends.is_empty();
-    suspect.is_told |= is_newly_told;
-    is_changed | is_newly_told
+    let is_newly_quarantined =
+        update.is_quarantined && !suspect.is_quarantined_elsewhere && !suspect.ends.is_empty();
+    suspect.is_quarantined_elsewhere |= is_newly_quarantined;
+    is_changed | is_newly_quarantined
 }
--- a/crates/ivyweir-policy/src/gateway/word.rs
+++ b/crates/ivyweir-policy/src/gateway/word.rs
@@ -8,7 +8,7 @@
 use crate::Name;
 use crate::gateway::duty::usage::UsageNews;
 use crate::gateway::limit::ToldLimit;
-use crate::gateway::quarantine::LedgerNews;
+use crate::gateway::quarantine::LedgerUpdate;
 use crate::gateway::repeat::RepeatCounts;
 use crate::gateway::verdict::{Tally, add_tally};
 
@@ -175,7 +175,7 @@
     pub limits: Vec<ToldLimit>,
     /// What is new of requests under which upstreams ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub quarantine: Option<LedgerNews>,
+    pub quarantine: Option<LedgerUpdate>,
     /// What is new of requests that began, where usage is reported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<UsageNews>,
--- a/crates/ivyweir-policy/tests/gateway_quarantine.rs
+++ b/crates/ivyweir-policy/tests/gateway_quarantine.rs
@@ -2,12 +2,13 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::quarantine::{
-    Content, Exchange, Fingerprint, Ledger, RunEnd, RunKey, Runs, UpstreamEnd, Witness,
+    EndObservation, Fingerprint, Ledger, LedgerSync, RequestContent, RunEnd, RunKey, RunRegistry,
+    UpstreamEnd,
 };
 use proptest::prelude::*;
 
 fn request(name: &str) -> Fingerprint {
-    Fingerprint::of(&Content {
+    Fingerprint::of(&RequestContent {
         method: "POST",
         host: "studio.example",
         path: "/stream/x",
@@ -26,8 +27,8 @@
     }
 }
 
-fn witness(fingerprint: Fingerprint, end: UpstreamEnd) -> Witness {
-    Witness {
+fn witness(fingerprint: Fingerprint, end: UpstreamEnd) -> EndObservation {
+    EndObservation {
         fingerprint,
         end,
         completed_at_ms: None,
@@ -101,7 +102,7 @@
 fn ends_at_one_moment_of_a_request_that_was_answered_before_are_one_loss() {
     let mut ledger = Ledger::default();
     let mut lose = |upstream: u64, at_ms: i64| {
-        let loss = Witness {
+        let loss = EndObservation {
             completed_at_ms: Some(20),
             ..witness(request("often"), end(upstream, at_ms, 200))
         };
@@ -165,7 +166,7 @@
 fn a_request_that_no_upstream_ended_under_is_not_remembered() {
     let mut ledger = Ledger::default();
     ledger.completed(request("b"), 100);
-    assert_eq!(ledger.changes(), 0);
+    assert_eq!(ledger.last_change(), 0);
 }
 
 #[test]
@@ -192,13 +193,13 @@
         ledger.upstream_ended(&[witness(once, end(10 + n, 1_000 + n as i64, 10))]);
     }
     assert!(ledger.is_quarantined(request("harm")));
-    let (news, _) = ledger.news(0, usize::MAX, 30_000);
+    let (news, _) = ledger.updates_since(0, usize::MAX, 30_000);
     assert!(news.len() <= 1_024, "{} entries", news.len());
 }
 
 #[test]
 fn content_makes_the_request_and_its_caller() {
-    let base = Content {
+    let base = RequestContent {
         method: "POST",
         host: "h",
         path: "/a",
@@ -206,24 +207,24 @@
         body: b"x",
     };
     let others = [
-        Content {
+        RequestContent {
             method: "PUT",
             ..base
         },
-        Content { host: "i", ..base },
-        Content {
+        RequestContent { host: "i", ..base },
+        RequestContent {
             path: "/a?b",
             ..base
         },
-        Content {
+        RequestContent {
             workspace: Some(""),
             ..base
         },
-        Content {
+        RequestContent {
             workspace: Some("w"),
             ..base
         },
-        Content { body: b"", ..base },
+        RequestContent { body: b"", ..base },
     ];
     for other in others {
         assert_ne!(Fingerprint::of(&other), Fingerprint::of(&base), "{other:?}");
@@ -234,7 +235,7 @@
 #[test]
 fn who_is_at_an_upstream_and_who_just_left() {
     let upstream = Name::from("u");
-    let mut runs = Runs::default();
+    let mut runs = RunRegistry::default();
     let sent = |name: &str| RunKey {
         fingerprint: request(name),
         try_hash: 1,
@@ -250,10 +251,10 @@
         runs.begin(&upstream, sent(name), began_ms);
     }
     runs.end(&upstream, sent("answered"), RunEnd::Settled, 1_000);
-    runs.end(&upstream, sent("long gone"), RunEnd::Broken, 1_000);
-    runs.end(&upstream, sent("broken"), RunEnd::Broken, 4_000);
-    runs.end(&upstream, sent("taken away"), RunEnd::Taken, 4_400);
-    runs.end(&upstream, sent("just taken away"), RunEnd::Taken, 4_900);
+    runs.end(&upstream, sent("long gone"), RunEnd::ConnectionLost, 1_000);
+    runs.end(&upstream, sent("broken"), RunEnd::ConnectionLost, 4_000);
+    runs.end(&upstream, sent("taken away"), RunEnd::Cancelled, 4_400);
+    runs.end(&upstream, sent("just taken away"), RunEnd::Cancelled, 4_900);
     runs.sweep(4_500);
     let there = runs.upstream_ended(&upstream, 5_000);
     let found = there.iter().map(|left| (left.key.fingerprint, left.at_ms));
@@ -273,7 +274,7 @@
 struct ModelBox {
     name: Name,
     ledger: Ledger,
-    exchange: Exchange,
+    exchange: LedgerSync,
     clock_ahead_ms: i64,
 }
 
@@ -281,7 +282,7 @@
     let model = |n: usize| ModelBox {
         name: format!("box-{n}").into(),
         ledger: Ledger::default(),
-        exchange: Exchange::new(n as u64 + 1),
+        exchange: LedgerSync::new(n as u64 + 1),
         clock_ahead_ms: 977 * n as i64,
     };
     (0..count).map(model).collect()
@@ -293,14 +294,14 @@
         let name = boxes[to].name.clone();
         let own_ms = now_ms + boxes[from].clock_ahead_ms;
         let teller = &mut boxes[from];
-        let news = teller.exchange.news_for(&name, &teller.ledger, own_ms);
+        let news = teller.exchange.update_for(&name, &teller.ledger, own_ms);
         let from = boxes[from].name.clone();
         if let (Some(news), false) = (news, is_lost) {
             let hearer = &mut boxes[to];
             let own_ms = now_ms + hearer.clock_ahead_ms;
             hearer
                 .exchange
-                .hear(&from, news, &mut hearer.ledger, own_ms);
+                .receive(&from, news, &mut hearer.ledger, own_ms);
         }
         is_lost
     };
@@ -356,7 +357,7 @@
     let news = |boxes: &mut [ModelBox], from: usize, to: usize| {
         let name = boxes[to].name.clone();
         let teller = &mut boxes[from];
-        teller.exchange.news_for(&name, &teller.ledger, 0)
+        teller.exchange.update_for(&name, &teller.ledger, 0)
     };
     assert!(news(&mut boxes, 0, 1).is_some(), "that it has begun");
     assert_eq!(news(&mut boxes, 0, 1), None);
@@ -383,7 +384,7 @@
     talk(&mut boxes, (0, 1), (false, false), 700);
     talk(&mut boxes, (0, 1), (false, false), 700);
     boxes[1].ledger = Ledger::default();
-    boxes[1].exchange = Exchange::new(77);
+    boxes[1].exchange = LedgerSync::new(77);
     talk(&mut boxes, (1, 0), (false, false), 900);
     talk(&mut boxes, (1, 0), (false, false), 900);
     assert!(boxes[1].ledger.is_quarantined(request("harm")));
