--- a/crates/ivyweir-gateway/src/adopt.rs
+++ b/crates/ivyweir-gateway/src/adopt.rs
@@ -6,7 +6,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::revision::Revision;
-use ivyweir_policy::gateway::rollout::{RolloutOrder, RolloutState, RolloutTrack};
+use ivyweir_policy::gateway::rollout::{RolloutOrder, RolloutState, RolloutTracker};
 use ivyweir_policy::gateway::site::{Site, SiteIndex};
 use ivyweir_policy::gateway::statement::Source;
 use serde_json::json;
@@ -174,7 +174,7 @@
     gateway.with_rollouts(|rollouts, now_ms| match rollouts.get_mut(&order.pool) {
         Some(track) => track.update(order, now_ms),
         None => {
-            rollouts.insert(order.pool.clone(), RolloutTrack::new(order, now_ms));
+            rollouts.insert(order.pool.clone(), RolloutTracker::new(order, now_ms));
         }
     });
 }
--- a/crates/ivyweir-gateway/src/drive.rs
+++ b/crates/ivyweir-gateway/src/drive.rs
@@ -100,7 +100,7 @@
     };
     let counts = gateway.with_rollouts(|rollouts, _| {
         let track = rollouts.get(&order.pool);
-        track.map(|track| counts_of(&track.sum()))
+        track.map(|track| counts_of(&track.total_tally()))
     });
     let outcome_text = match &outcome {
         Ok(outcome) => outcome,
--- a/crates/ivyweir-gateway/src/judge.rs
+++ b/crates/ivyweir-gateway/src/judge.rs
@@ -1,7 +1,7 @@
 //! Adds answers to what is known of the versions that gave them.
 
+use ivyweir_policy::gateway::canary::{AnswerSample, Span};
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
-use ivyweir_policy::gateway::verdict::{Evidence, Span};
 
 use crate::attempt::Reply;
 use crate::job::Job;
@@ -15,7 +15,7 @@
         learn_pace(gateway, job, reply, model);
     }
     if failed || !job.route.kind.is_stream() {
-        let evidence = Evidence {
+        let evidence = AnswerSample {
             upstream: &reply.lease.upstream.id,
             failed,
             is_final: true,
@@ -43,11 +43,13 @@
 }
 
 /// Adds an answer to what is known about its version.
-pub fn weigh(gateway: &Gateway, job: &Job, upstream: &UpstreamRecord, evidence: &Evidence) {
+pub fn weigh(gateway: &Gateway, job: &Job, upstream: &UpstreamRecord, evidence: &AnswerSample) {
     let condemned = gateway.with_rollouts(|rollouts, now_ms| {
         let track = rollouts.get_mut(&job.pool)?;
         let side = track.side_of(&upstream.version);
-        track.judge(side, evidence, now_ms).then(|| track.sum())
+        track
+            .record_answer(side, evidence, now_ms)
+            .then(|| track.total_tally())
     });
     if let Some(sum) = condemned {
         gateway.log_condemned(&job.pool, &sum);
--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -14,12 +14,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use ivyweir_policy::Name;
+use ivyweir_policy::gateway::canary::Tally;
 use ivyweir_policy::gateway::hall::{
     BoxRecord, KeptRoot, ShunPauses, Shunned, Source, View, relay_of,
 };
 use ivyweir_policy::gateway::joined::{Joined, ListMark, ListNews, SeedLists};
 use ivyweir_policy::gateway::owners::Owners;
-use ivyweir_policy::gateway::verdict::Tally;
 use ivyweir_policy::gateway::word::{OthersWords, Repeats, Word, Work, add_repeats, add_work};
 use ivyweir_policy::rank::hash64;
 use tokio::sync::watch;
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -24,7 +24,7 @@
 use ivyweir_policy::gateway::place::UpstreamLoad;
 use ivyweir_policy::gateway::proof::Proof;
 use ivyweir_policy::gateway::repeat::{FleetCounts, RepeatBudget};
-use ivyweir_policy::gateway::rollout::RolloutTrack;
+use ivyweir_policy::gateway::rollout::RolloutTracker;
 use ivyweir_policy::gateway::site::SiteIndex;
 use ivyweir_policy::gateway::statement::Source;
 use ivyweir_policy::gateway::upstreams::Upstreams;
@@ -88,7 +88,7 @@
     site: Mutex<Option<Arc<SiteIndex>>>,
     proof: Mutex<Proof>,
     upstreams: Mutex<Upstreams>,
-    rollouts: Mutex<HashMap<Name, RolloutTrack>>,
+    rollouts: Mutex<HashMap<Name, RolloutTracker>>,
     budgets: Mutex<HashMap<Name, RepeatBudget>>,
     /// What all boxes counted of repeats, by pool.
     fleet_repeats: Mutex<HashMap<Name, FleetCounts>>,
--- a/crates/ivyweir-gateway/src/state/rollouts.rs
+++ b/crates/ivyweir-gateway/src/state/rollouts.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::rollout::{RolloutTrack, Side};
+use ivyweir_policy::gateway::canary::Tally;
+use ivyweir_policy::gateway::rollout::{RolloutTracker, Side};
 use ivyweir_policy::gateway::upstreams::Target;
-use ivyweir_policy::gateway::verdict::Tally;
 use serde_json::{Value, json};
 
 use super::{Gateway, lock};
@@ -22,7 +22,7 @@
     /// Works on the roll-outs.
     pub fn with_rollouts<T>(
         &self,
-        work: impl FnOnce(&mut HashMap<Name, RolloutTrack>, u64) -> T,
+        work: impl FnOnce(&mut HashMap<Name, RolloutTracker>, u64) -> T,
     ) -> T {
         work(&mut lock(&self.rollouts), self.clock.now_ms())
     }
@@ -47,7 +47,7 @@
     pub(super) fn own_tallies(&self) -> HashMap<Name, Tally> {
         self.with_rollouts(|rollouts, _| {
             let under_way = rollouts.iter().filter(|(_, track)| !track.is_over());
-            let tallies = under_way.map(|(pool, track)| (pool.clone(), track.tally()));
+            let tallies = under_way.map(|(pool, track)| (pool.clone(), track.local_tally()));
             tallies.collect()
         })
     }
@@ -56,7 +56,9 @@
     pub(super) fn hear_tally(&self, pool: &Name, tally: Tally) {
         let condemned = self.with_rollouts(|rollouts, now_ms| {
             let track = rollouts.get_mut(pool)?;
-            track.hear(tally, now_ms).then(|| track.sum())
+            track
+                .set_remote_tally(tally, now_ms)
+                .then(|| track.total_tally())
         });
         if let Some(sum) = condemned {
             self.log_condemned(pool, &sum);
@@ -74,7 +76,7 @@
 pub fn counts_of(sum: &Tally) -> Value {
     let rows = sum.iter().map(|(group, c)| {
         json!({
-            "fault": group.fault, "lane": group.lane,
+            "fault": group.criterion, "lane": group.lane,
             "new": [c.new.bad, c.new.all], "old": [c.old.bad, c.old.all],
         })
     });
--- a/crates/ivyweir-gateway/src/stream.rs
+++ b/crates/ivyweir-gateway/src/stream.rs
@@ -11,8 +11,8 @@
 use hyper::body::{Frame, Incoming};
 use hyper::{Response, header};
 use ivyweir_policy::Name;
+use ivyweir_policy::gateway::canary::{AnswerSample, Span};
 use ivyweir_policy::gateway::site::RouteKind;
-use ivyweir_policy::gateway::verdict::{Evidence, Span};
 use serde_json::json;
 use tokio::time::timeout_at;
 
@@ -284,7 +284,7 @@
     /// Adds what was seen of the stream to what is known of its version.
     fn weigh(&self, is_final: bool, pace_ms: Option<f64>, span: Span) {
         let upstream = &self.source.lease.upstream;
-        let evidence = Evidence {
+        let evidence = AnswerSample {
             upstream: &upstream.id,
             failed: false,
             is_final,
--- a/crates/ivyweir-policy/src/gateway/mod.rs
+++ b/crates/ivyweir-policy/src/gateway/mod.rs
@@ -3,6 +3,7 @@
 //! Each type is plain data that is handed the time; the gateway's I/O lives in `ivyweir-gateway`.
 
 pub mod backoff;
+pub mod canary;
 pub mod cascade;
 pub mod cold;
 pub mod copies;
@@ -24,7 +25,6 @@
 pub mod slowness;
 pub mod statement;
 pub mod upstreams;
-pub mod verdict;
 pub mod wait;
 pub mod word;
 pub mod work;
--- a/crates/ivyweir-policy/src/gateway/rollout.rs
+++ b/crates/ivyweir-policy/src/gateway/rollout.rs
@@ -1,68 +1,71 @@
-//! A pool's move to another version: how much of it a version gets, and what is written when.
+//! Roll-out of a version to a pool: the share of work that the version gets, and when state is
+//! written.
 //!
-//! A session must not move to the new version in the first half of its time, and sessions are
-//! served by many boxes. So the new version gets nothing in that half. Then its share of sessions
-//! grows in steps, chosen by a hash that all boxes agree on, which also keeps a session from going
-//! back. A version may be bad without showing it yet, so the steps are small until shortly before
-//! the end. The first box that finds the new version bad returns all work to the old one; how it
-//! is found is in [`crate::gateway::verdict`].
+//! A session must not move to the new version in the first half of the roll-out, and sessions are
+//! served by many boxes. The new version therefore gets nothing in that half. After it, its share
+//! of sessions grows in steps. A session is assigned by a hash on which all boxes agree, which also
+//! keeps it from moving back. A version may be bad without showing it at first, so the steps are
+//! small until shortly before the end. The first box that finds the new version bad returns all
+//! work to the old one; see [`crate::gateway::canary`] for the criteria.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
+use crate::gateway::canary::{AnswerSample, CanaryAnalysis, Tally};
 use crate::gateway::revision::Revision;
-use crate::gateway::verdict::{Evidence, Findings, Tally};
 use crate::rank::mix;
 
-/// A step of a roll-out: from which part of its time on, and which share the new version gets.
+/// A step of a roll-out: the fraction of its duration at which the step starts, and the share of
+/// sessions that the new version gets.
 #[derive(Debug, Clone, Copy)]
 struct Step {
-    from: f64,
+    start: f64,
     share: f64,
 }
 
-/// The bound on exposure is 15 % of requests over the whole time, also for a version whose faults
-/// nobody saw; with these steps it gets 12 %. Of that, the steps before the last spend as much as the
-/// bound allows: 25 requests a second show some twenty streams of the new version, of which half a
-/// dozen that are slow tell it.
+/// The exposure bound allows the new version 15 % of requests over the whole duration, also where
+/// its faults are never detected; these steps give it 12 %. The steps before the last use as much
+/// of that as the bound allows. At 25 requests a second they yield some twenty streams of the new
+/// version, of which half a dozen slow ones are enough to detect it.
 const STEPS: [Step; 4] = [
     Step {
-        from: 0.0,
+        start: 0.0,
         share: 0.0,
     },
     Step {
-        from: 0.52,
+        start: 0.52,
         share: 0.07,
     },
     Step {
-        from: 0.72,
+        start: 0.72,
         share: 0.125,
     },
     Step {
-        from: 0.92,
+        start: 0.92,
         share: 1.0,
     },
 ];
-/// Part of the time after which the move is declared complete: streams of the old version that have
-/// not ended by then are resumed. It leaves the store's answer some hundred milliseconds.
-const COMPLETE_FROM: f64 = 0.96;
-/// Keeps this draw apart from others that use the same session.
+/// Fraction of the duration after which the roll-out is declared complete. Streams of the old
+/// version that have not ended by then are resumed. The rest leaves some hundred milliseconds for
+/// the response of the store.
+const COMPLETION_FRACTION: f64 = 0.96;
+/// Decorrelates this hash from others that use the same session.
 const SESSION_SALT: u64 = 0x726f_6c6c_6f75_7421;
 
-/// How far a roll-out is, as the store says.
+/// State of a roll-out in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
-    /// Nobody took it up.
+    /// Not started by any box yet.
     Ordered,
-    /// Under way.
+    /// In progress.
     Running {
-        /// Time that had passed when this was written.
+        /// Elapsed time when this was written.
         elapsed_ms: u64,
     },
     /// All work goes to the new version.
     Completed,
-    /// All work stays with the old version.
+    /// All work is served by the old version.
     RolledBack,
 }
 
@@ -82,20 +85,20 @@
     }
 }
 
-/// An order to move a pool to another version.
+/// An order to roll a version out to a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The pool.
+    /// Pool to change.
     pub pool: Name,
-    /// The version that is to serve it.
+    /// Version that is to serve the pool.
     pub target_version: Name,
-    /// Time in which to do so.
+    /// Duration of the roll-out.
     pub duration_ms: u64,
-    /// How far it is.
+    /// Current state.
     pub state: RolloutState,
     /// Revision of the record.
     pub revision: u64,
-    /// Era of the store that the revision belongs to.
+    /// Store era that the revision belongs to.
     #[serde(default)]
     pub era: u64,
 }
@@ -107,58 +110,59 @@
     }
 }
 
-/// Which side of a roll-out serves a request.
+/// The side of a roll-out that serves a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Side {
     /// Versions other than the target.
     Old,
-    /// The target.
+    /// The target version.
     New,
 }
 
-/// A box's view of a roll-out.
+/// State of a roll-out as tracked by one box.
 #[derive(Debug)]
-pub struct RolloutTrack {
+pub struct RolloutTracker {
     order: RolloutOrder,
     /// When this box detected that a restored store lacks the current state.
     state_lost_at_ms: Option<u64>,
-    /// May lie before the start of the box's clock.
+    /// Start of the roll-out; may precede the zero of the clock of this box.
     started_ms: i64,
-    findings: Findings,
-    /// When the new version was found bad.
+    analysis: CanaryAnalysis,
+    /// When the new version was condemned.
     condemned_at_ms: Option<u64>,
 }
 
-/// What a box should write to the store.
+/// Write to the store that is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutDuty {
-    /// Nothing for now.
+    /// No write.
     None,
-    /// How much time has passed: at the start, and at each step for boxes that learned of it late.
+    /// The elapsed time: at the start, and at each step for boxes that learned of the roll-out
+    /// late.
     Tell,
-    /// That it is complete.
+    /// The completed state.
     Complete,
-    /// That it was undone.
+    /// The rolled-back state.
     RollBack,
 }
 
-impl RolloutTrack {
-    /// Follows an order from now on.
+impl RolloutTracker {
+    /// Starts to track an order.
     pub fn new(order: RolloutOrder, now_ms: u64) -> Self {
         let elapsed_ms = match order.state {
             RolloutState::Running { elapsed_ms } => elapsed_ms,
             _ => 0,
         };
         Self {
-            started_ms: start_of(elapsed_ms, now_ms),
+            started_ms: start_ms(elapsed_ms, now_ms),
             order,
             state_lost_at_ms: None,
-            findings: Findings::default(),
+            analysis: CanaryAnalysis::default(),
             condemned_at_ms: None,
         }
     }
 
-    /// Takes in the order's record; an order for another version starts anew.
+    /// Applies a newer record of the order; an order for another version restarts the roll-out.
     pub fn update(&mut self, order: RolloutOrder, now_ms: u64) {
         if order.store_revision() <= self.order.store_revision() {
             return;
@@ -166,8 +170,8 @@
         let is_same_order = order.target_version == self.order.target_version
             && order.duration_ms == self.order.duration_ms;
         let is_after_restore = order.era > self.order.era || self.state_lost_at_ms.is_some();
-        // Adopting the older state would repeat a move whose old upstreams may have been stopped, or
-        // whose new version was found bad.
+        // Adopting the older state would repeat a roll-out whose old upstreams may have been
+        // stopped, or whose new version was condemned.
         if is_same_order && is_after_restore && order.state.progress() < self.order.state.progress()
         {
             self.order.revision = order.revision;
@@ -175,13 +179,13 @@
             self.state_lost_at_ms = Some(now_ms);
             return;
         }
-        let same = is_same_order && !(self.is_over() && order.state == RolloutState::Ordered);
+        let continues = is_same_order && !(self.is_over() && order.state == RolloutState::Ordered);
         self.state_lost_at_ms = None;
-        if same {
+        if continues {
             if let RolloutState::Running { elapsed_ms } = order.state {
-                // A box that learned of the order late counts from too late until another one
-                // tells it.
-                self.started_ms = self.started_ms.min(start_of(elapsed_ms, now_ms));
+                // A box that learned of the order late assumes a start that is too late, until it
+                // reads the elapsed time written by another box.
+                self.started_ms = self.started_ms.min(start_ms(elapsed_ms, now_ms));
             }
             self.order = order;
         } else {
@@ -189,22 +193,22 @@
         }
     }
 
-    /// The order.
+    /// The tracked order.
     pub fn order(&self) -> &RolloutOrder {
         &self.order
     }
 
-    /// Whether nothing more is to be done.
+    /// Whether the roll-out has ended.
     pub fn is_over(&self) -> bool {
         self.order.state.is_over()
     }
 
-    /// Time since the order.
+    /// Time since the start of the roll-out.
     pub fn elapsed_ms(&self, now_ms: u64) -> u64 {
         u64::try_from(now_ms as i64 - self.started_ms).unwrap_or(0)
     }
 
-    /// Share of sessions that the new version gets.
+    /// Share of sessions that the new version gets now.
     pub fn share(&self, now_ms: u64) -> f64 {
         match self.order.state {
             RolloutState::Completed => return 1.0,
@@ -212,13 +216,13 @@
             _ if self.condemned_at_ms.is_some() => return 0.0,
             _ => {}
         }
-        STEPS[step_at(self.part(now_ms))].share
+        STEPS[step_at(self.elapsed_fraction(now_ms))].share
     }
 
     /// The side that serves a request of the session with this hash.
     pub fn side(&self, session: u64, now_ms: u64) -> Side {
-        let drawn = mix(session, SESSION_SALT) >> 11;
-        let unit = drawn as f64 / (1u64 << 53) as f64;
+        let hash = mix(session, SESSION_SALT) >> 11;
+        let unit = hash as f64 / (1u64 << 53) as f64;
         if unit < self.share(now_ms) {
             Side::New
         } else {
@@ -226,7 +230,7 @@
         }
     }
 
-    /// The side a version is on.
+    /// The side that a version belongs to.
     pub fn side_of(&self, version: &str) -> Side {
         if version == &*self.order.target_version {
             Side::New
@@ -235,41 +239,42 @@
         }
     }
 
-    /// Takes in an answer; returns whether it condemned the new version just now.
-    pub fn judge(&mut self, side: Side, evidence: &Evidence, now_ms: u64) -> bool {
-        let began_ms = now_ms.saturating_sub(evidence.age_ms);
-        let is_alone = self.share(began_ms) >= 1.0;
-        self.findings.weigh(side, evidence, is_alone);
+    /// Adds an answer; returns whether it condemned the new version just now.
+    pub fn record_answer(&mut self, side: Side, sample: &AnswerSample, now_ms: u64) -> bool {
+        let began_ms = now_ms.saturating_sub(sample.age_ms);
+        let is_fully_shifted = self.share(began_ms) >= 1.0;
+        self.analysis.record(side, sample, is_fully_shifted);
         self.condemn_if_bad(now_ms)
     }
 
-    /// Takes in what other boxes counted; returns whether it condemned the new version just now.
-    pub fn hear(&mut self, others: Tally, now_ms: u64) -> bool {
-        self.findings.hear(others);
+    /// Replaces the counts of the other boxes; returns whether they condemned the new version just
+    /// now.
+    pub fn set_remote_tally(&mut self, others: Tally, now_ms: u64) -> bool {
+        self.analysis.set_remote_tally(others);
         self.condemn_if_bad(now_ms)
     }
 
-    /// What this box counted.
-    pub fn tally(&self) -> Tally {
-        self.findings.tally()
+    /// Counts of this box.
+    pub fn local_tally(&self) -> Tally {
+        self.analysis.local_tally()
     }
 
-    /// What all boxes counted.
-    pub fn sum(&self) -> Tally {
-        self.findings.sum()
+    /// Counts of all boxes.
+    pub fn total_tally(&self) -> Tally {
+        self.analysis.total_tally()
     }
 
     fn condemn_if_bad(&mut self, now_ms: u64) -> bool {
         if self.condemned_at_ms.is_some() || self.is_over() {
             return false;
         }
-        let is_bad = self.findings.condemns();
+        let is_bad = self.analysis.condemns();
         self.condemned_at_ms = is_bad.then_some(now_ms);
         is_bad
     }
 
-    /// What is to be written at this time, which may lie in the past: who leaves it to others for a
-    /// while asks for what was due then.
+    /// Write that is due at this time, which may lie in the past: a box that first leaves the write
+    /// to others asks for what was due earlier.
     pub fn duty(&self, now_ms: u64) -> RolloutDuty {
         let is_rewrite_due = self.state_lost_at_ms.is_some_and(|at_ms| at_ms <= now_ms);
         match self.order.state {
@@ -278,15 +283,17 @@
             RolloutState::Completed | RolloutState::RolledBack => RolloutDuty::None,
             _ if self.condemned_at_ms.is_some_and(|at_ms| at_ms <= now_ms) => RolloutDuty::RollBack,
             _ if self.condemned_at_ms.is_some() => RolloutDuty::None,
-            _ if self.part(now_ms) >= COMPLETE_FROM && self.findings.condemns_at_end() => {
+            _ if self.elapsed_fraction(now_ms) >= COMPLETION_FRACTION
+                && self.analysis.condemns_at_end() =>
+            {
                 RolloutDuty::RollBack
             }
-            _ if self.part(now_ms) >= COMPLETE_FROM => RolloutDuty::Complete,
+            _ if self.elapsed_fraction(now_ms) >= COMPLETION_FRACTION => RolloutDuty::Complete,
             RolloutState::Ordered => RolloutDuty::Tell,
             RolloutState::Running { .. } if is_rewrite_due => RolloutDuty::Tell,
             RolloutState::Running { elapsed_ms } => {
-                let told = elapsed_ms as f64 / self.order.duration_ms.max(1) as f64;
-                if step_at(told) < step_at(self.part(now_ms)) {
+                let recorded_fraction = elapsed_ms as f64 / self.order.duration_ms.max(1) as f64;
+                if step_at(recorded_fraction) < step_at(self.elapsed_fraction(now_ms)) {
                     RolloutDuty::Tell
                 } else {
                     RolloutDuty::None
@@ -295,19 +302,19 @@
         }
     }
 
-    /// The part of the order's time that has passed.
-    fn part(&self, now_ms: u64) -> f64 {
+    /// Elapsed fraction of the duration.
+    fn elapsed_fraction(&self, now_ms: u64) -> f64 {
         self.elapsed_ms(now_ms) as f64 / self.order.duration_ms.max(1) as f64
     }
 }
 
-/// When an order of this age began.
-fn start_of(elapsed_ms: u64, now_ms: u64) -> i64 {
+/// Start time of an order of this age.
+fn start_ms(elapsed_ms: u64, now_ms: u64) -> i64 {
     now_ms as i64 - elapsed_ms as i64
 }
 
-/// The step that holds at a part of the time, by its place.
-fn step_at(part: f64) -> usize {
-    let later = STEPS.iter().rposition(|step| part >= step.from);
-    later.unwrap_or(0)
+/// Index of the step in effect at a fraction of the duration.
+fn step_at(fraction: f64) -> usize {
+    let current = STEPS.iter().rposition(|step| fraction >= step.start);
+    current.unwrap_or(0)
 }
--- a/crates/ivyweir-policy/src/gateway/word.rs
+++ b/crates/ivyweir-policy/src/gateway/word.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
+use crate::gateway::canary::{Tally, add_tally};
 use crate::gateway::duty::usage::UsageNews;
 use crate::gateway::limit::ToldLimit;
 use crate::gateway::quarantine::LedgerUpdate;
 use crate::gateway::repeat::RepeatCounts;
-use crate::gateway::verdict::{Tally, add_tally};
 
 /// Age at which what was told says nothing any more.
 const TOLD_MAX_AGE_MS: u64 = 1_200;
--- a/crates/ivyweir-policy/tests/gateway_rollout.rs
+++ b/crates/ivyweir-policy/tests/gateway_rollout.rs
@@ -1,10 +1,10 @@
 //! Roll-outs of a pool: shares, sessions, verdicts, and what boxes tell each other.
 
 use ivyweir_policy::Name;
+use ivyweir_policy::gateway::canary::{AnswerSample, Span, Tally, add_tally};
 use ivyweir_policy::gateway::rollout::{
-    RolloutDuty, RolloutOrder, RolloutState, RolloutTrack, Side,
+    RolloutDuty, RolloutOrder, RolloutState, RolloutTracker, Side,
 };
-use ivyweir_policy::gateway::verdict::{Evidence, Span, Tally, add_tally};
 
 const DURATION_MS: u64 = 24_000;
 
@@ -23,8 +23,8 @@
     RolloutState::Running { elapsed_ms }
 }
 
-fn evidence(upstream: &Name, failed: bool, pace_ms: Option<f64>) -> Evidence<'_> {
-    Evidence {
+fn evidence(upstream: &Name, failed: bool, pace_ms: Option<f64>) -> AnswerSample<'_> {
+    AnswerSample {
         upstream,
         failed,
         is_final: true,
@@ -40,7 +40,7 @@
 /// When answers of these tests are judged.
 const JUDGED_MS: u64 = 90;
 
-fn sessions_on_new(track: &RolloutTrack, now_ms: u64) -> usize {
+fn sessions_on_new(track: &RolloutTracker, now_ms: u64) -> usize {
     let on_new = |session: &u64| track.side(*session, now_ms) == Side::New;
     (0..1_000).filter(on_new).count()
 }
@@ -49,7 +49,7 @@
     ($($name:ident: at $at_ms:expr => $low:expr, $high:expr;)*) => {$(
         #[test]
         fn $name() {
-            let track = RolloutTrack::new(order(RolloutState::Ordered, 1), 0);
+            let track = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
             let on_new = sessions_on_new(&track, $at_ms);
             assert!(($low..=$high).contains(&on_new), "{on_new} of 1000 sessions");
         }
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_version_whose_faults_nobody_sees_gets_less_than_its_bound() {
-    let track = RolloutTrack::new(order(RolloutState::Ordered, 1), 0);
+    let track = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
     let shares = (0..DURATION_MS).step_by(10).map(|at_ms| track.share(at_ms));
     let mean = shares.sum::<f64>() / (DURATION_MS / 10) as f64;
     assert!(mean < 0.13, "{mean} of all requests");
@@ -73,23 +73,23 @@
 
 #[test]
 fn boxes_condemn_together_what_none_sees_enough_of() {
-    let mut tracks = [0, 1, 2, 3].map(|_| RolloutTrack::new(order(running(0), 1), 0));
+    let mut tracks = [0, 1, 2, 3].map(|_| RolloutTracker::new(order(running(0), 1), 0));
     for (n, track) in tracks.iter_mut().enumerate() {
         let upstream: Name = format!("u{n}").into();
-        assert!(!track.judge(Side::New, &evidence(&upstream, true, None), 13_000));
+        assert!(!track.record_answer(Side::New, &evidence(&upstream, true, None), 13_000));
     }
     let mut others = Tally::new();
     for track in &tracks[1..] {
-        add_tally(&mut others, &track.tally());
+        add_tally(&mut others, &track.local_tally());
     }
-    assert!(tracks[0].hear(others, 13_100));
+    assert!(tracks[0].set_remote_tally(others, 13_100));
     assert_eq!(tracks[0].duty(13_099), RolloutDuty::None);
     assert_eq!(tracks[0].duty(13_100), RolloutDuty::RollBack);
 }
 
 #[test]
 fn a_session_never_goes_back() {
-    let track = RolloutTrack::new(order(RolloutState::Ordered, 1), 0);
+    let track = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
     for session in 0..200 {
         let sides: Vec<Side> = (0..24).map(|s| track.side(session, s * 1_000)).collect();
         let moves = sides.windows(2).filter(|pair| pair[0] != pair[1]).count();
@@ -100,11 +100,11 @@
 #[test]
 fn a_box_that_learns_late_catches_up_at_the_next_step() {
     let at_step_ms = DURATION_MS * 76 / 100;
-    let mut late = RolloutTrack::new(order(running(115), 2), 18_000);
+    let mut late = RolloutTracker::new(order(running(115), 2), 18_000);
     assert_eq!(late.elapsed_ms(18_000), 115, "nothing tells it better yet");
     late.update(order(running(at_step_ms), 3), at_step_ms + 10);
     assert_eq!(late.elapsed_ms(at_step_ms + 10), at_step_ms);
-    let punctual = RolloutTrack::new(order(RolloutState::Ordered, 1), 0);
+    let punctual = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
     for session in 0..1_000 {
         let now_ms = at_step_ms + 20;
         let sides = [&late, &punctual].map(|t| t.side(session, now_ms));
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_later_word_never_sets_a_box_back() {
-    let mut track = RolloutTrack::new(order(RolloutState::Ordered, 1), 0);
+    let mut track = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
     track.update(order(running(100), 2), 5_000);
     assert_eq!(track.elapsed_ms(5_000), 5_000);
 }
@@ -123,7 +123,7 @@
     ($($name:ident: $state:expr, at $at_ms:expr => $duty:expr;)*) => {$(
         #[test]
         fn $name() {
-            let track = RolloutTrack::new(order($state, 1), 0);
+            let track = RolloutTracker::new(order($state, 1), 0);
             let started_ms = match $state {
                 RolloutState::Running { elapsed_ms } => elapsed_ms,
                 _ => 0,
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_box_that_just_started_counts_from_before_its_start() {
-    let track = RolloutTrack::new(order(running(17_000), 1), 5);
+    let track = RolloutTracker::new(order(running(17_000), 1), 5);
     assert_eq!(track.elapsed_ms(1_005), 18_000);
 }
 
@@ -150,11 +150,11 @@
 }
 
 /// Answers of both versions, as `(side, failed, pace_ms)`.
-fn judged(answers: &[(Side, bool, Option<f64>)]) -> RolloutTrack {
-    let mut track = RolloutTrack::new(order(running(0), 1), 0);
+fn judged(answers: &[(Side, bool, Option<f64>)]) -> RolloutTracker {
+    let mut track = RolloutTracker::new(order(running(0), 1), 0);
     for (at, (side, failed, pace_ms)) in answers.iter().enumerate() {
         let upstream: Name = format!("u{at}").into();
-        track.judge(*side, &evidence(&upstream, *failed, *pace_ms), JUDGED_MS);
+        track.record_answer(*side, &evidence(&upstream, *failed, *pace_ms), JUDGED_MS);
     }
     track
 }
@@ -226,11 +226,11 @@
 
 #[test]
 fn a_version_that_fails_on_one_lane_only_is_condemned() {
-    let mut track = RolloutTrack::new(order(running(0), 1), 0);
+    let mut track = RolloutTracker::new(order(running(0), 1), 0);
     for n in 0..40 {
         let upstream: Name = format!("u{}", n % 5).into();
         let lane = n % 4;
-        let evidence = Evidence {
+        let evidence = AnswerSample {
             upstream: &upstream,
             failed: lane == 0,
             is_final: true,
@@ -241,7 +241,7 @@
             running: 0,
             queue: 0.0,
         };
-        track.judge(Side::New, &evidence, JUDGED_MS);
+        track.record_answer(Side::New, &evidence, JUDGED_MS);
     }
     assert_eq!(track.duty(100), RolloutDuty::RollBack);
 }
@@ -255,32 +255,32 @@
 }
 
 /// Answers of one version over many events: `slow` of every 20 take three times as long.
-fn long_answers(track: &mut RolloutTrack, side: Side, count: usize, slow: usize) {
+fn long_answers(track: &mut RolloutTracker, side: Side, count: usize, slow: usize) {
     for n in 0..count {
         let upstream: Name = format!("u{}", n % 5).into();
         let pace_ms = if n % 20 < slow { 60.0 } else { 20.0 };
-        let evidence = Evidence {
+        let evidence = AnswerSample {
             is_final: false,
             span: Span::Long,
             ..evidence(&upstream, false, Some(pace_ms))
         };
-        track.judge(side, &evidence, JUDGED_MS);
+        track.record_answer(side, &evidence, JUDGED_MS);
     }
 }
 
 #[test]
 fn a_version_slow_over_many_events_is_told_by_a_few_answers() {
-    let mut track = RolloutTrack::new(order(running(0), 1), 0);
+    let mut track = RolloutTracker::new(order(running(0), 1), 0);
     long_answers(&mut track, Side::Old, 200, 2);
     // What the starts of answers say does not hide it.
     for n in 0..200 {
         let upstream: Name = format!("u{n}").into();
-        track.judge(
+        track.record_answer(
             Side::Old,
             &evidence(&upstream, false, Some(20.0)),
             JUDGED_MS,
         );
-        track.judge(
+        track.record_answer(
             Side::New,
             &evidence(&upstream, false, Some(20.0)),
             JUDGED_MS,
@@ -306,21 +306,21 @@
 ];
 
 /// Streams like these, ten of a lane after the other.
-fn streams_of_lanes(track: &mut RolloutTrack, side: Side, streams: &[(f64, u32)]) {
+fn streams_of_lanes(track: &mut RolloutTracker, side: Side, streams: &[(f64, u32)]) {
     for (n, (pace_ms, running)) in streams.iter().enumerate() {
         let upstream: Name = format!("u{}", n % 5).into();
-        let evidence = Evidence {
+        let evidence = AnswerSample {
             lane: n as u64 / 10,
             running: *running,
             ..evidence(&upstream, false, Some(*pace_ms))
         };
-        track.judge(side, &evidence, JUDGED_MS);
+        track.record_answer(side, &evidence, JUDGED_MS);
     }
 }
 
 /// Whether new streams like these condemn their version beside a busy old one.
 fn is_condemned_beside_busy_engines(new: &[(f64, u32)]) -> bool {
-    let mut track = RolloutTrack::new(order(running(0), 1), 0);
+    let mut track = RolloutTracker::new(order(running(0), 1), 0);
     streams_of_lanes(&mut track, Side::Old, &BUSY.repeat(6));
     streams_of_lanes(&mut track, Side::New, new);
     track.duty(100) == RolloutDuty::RollBack
@@ -347,16 +347,16 @@
 /// The same for answers whose requests were sent `age_ms` before.
 fn is_condemned_by_answers_of_age(age_ms: u64, span: Span, old_ms: f64, new_ms: f64) -> bool {
     let now_ms = DURATION_MS * 93 / 100;
-    let mut track = RolloutTrack::new(order(running(0), 1), 0);
+    let mut track = RolloutTracker::new(order(running(0), 1), 0);
     for (side, pace_ms) in [(Side::Old, old_ms), (Side::New, new_ms)] {
         for n in 0..20 {
             let upstream: Name = format!("u{}", n % 5).into();
-            let evidence = Evidence {
+            let evidence = AnswerSample {
                 span,
                 age_ms,
                 ..evidence(&upstream, false, Some(pace_ms))
             };
-            track.judge(side, &evidence, now_ms);
+            track.record_answer(side, &evidence, now_ms);
         }
     }
     track.duty(now_ms) == RolloutDuty::RollBack
@@ -371,17 +371,17 @@
 /// version on idle upstreams, then its own of `own_ms` behind `queue` requests for each that runs.
 fn is_condemned_in_a_surge(own_ms: f64, queue: f64) -> bool {
     let now_ms = DURATION_MS * 93 / 100;
-    let mut track = RolloutTrack::new(order(running(0), 1), 0);
+    let mut track = RolloutTracker::new(order(running(0), 1), 0);
     let answers = [(Side::Old, 20.0, 0.0), (Side::New, own_ms, queue)];
     for (side, own_ms, queue) in answers {
         for n in 0..20 {
             let upstream: Name = format!("u{}", n % 5).into();
-            let evidence = Evidence {
+            let evidence = AnswerSample {
                 span: Span::Whole,
                 queue,
                 ..evidence(&upstream, false, Some(own_ms * (1.0 + queue)))
             };
-            track.judge(side, &evidence, now_ms);
+            track.record_answer(side, &evidence, now_ms);
         }
     }
     track.duty(now_ms) == RolloutDuty::RollBack
@@ -433,9 +433,9 @@
 
 #[test]
 fn one_failing_upstream_does_not_condemn_its_version() {
-    let mut track = RolloutTrack::new(order(running(0), 1), 0);
+    let mut track = RolloutTracker::new(order(running(0), 1), 0);
     for _ in 0..10 {
-        track.judge(Side::New, &evidence(&"u1".into(), true, None), JUDGED_MS);
+        track.record_answer(Side::New, &evidence(&"u1".into(), true, None), JUDGED_MS);
     }
     assert_eq!(track.duty(100), RolloutDuty::None);
 }
@@ -453,8 +453,8 @@
 
 /// Tracks a roll-out in the `known` state, then receives its record in the `stored` state from a
 /// restored store.
-fn track_after_restore(known: RolloutState, stored: RolloutState) -> RolloutTrack {
-    let mut track = RolloutTrack::new(order(known, 40), 0);
+fn track_after_restore(known: RolloutState, stored: RolloutState) -> RolloutTracker {
+    let mut track = RolloutTracker::new(order(known, 40), 0);
     let mut restored_order = order(stored, 16);
     restored_order.era = 1;
     track.update(restored_order, 1_000);
@@ -507,7 +507,7 @@
 
 #[test]
 fn an_order_for_another_version_after_a_restore_starts() {
-    let mut track = RolloutTrack::new(order(RolloutState::Completed, 40), 0);
+    let mut track = RolloutTracker::new(order(RolloutState::Completed, 40), 0);
     let mut next = order(RolloutState::Ordered, 16);
     next.era = 1;
     next.target_version = "v3".into();
