--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -109,7 +109,7 @@
     pub fn outcome(&self, failed: bool) {
         let id = &self.upstream.id;
         self.gateway
-            .with_load(id, |load, now_ms| load.outcome(failed, now_ms));
+            .with_load(id, |load, now_ms| load.record_outcome(failed, now_ms));
     }
 
     /// Takes in that the connection broke, and finds out whether the upstream itself ended.
@@ -240,7 +240,9 @@
             Ok(Err(SendError::NotSent)) if is_kept => lease.settle(),
             Ok(Err(SendError::NotSent)) => {
                 lease.settle();
-                gateway.with_load(&upstream.id, |load, now_ms| load.connection_failed(now_ms));
+                gateway.with_load(&upstream.id, |load, now_ms| {
+                    load.record_connection_failure(now_ms)
+                });
                 trace.fail("not_sent", json!({"upstream": upstream.id}));
                 count(gateway, job, "not_sent");
                 return Sent::NotRun { arrived: false };
@@ -280,7 +282,9 @@
             if e.kind() == io::ErrorKind::ConnectionRefused {
                 gateway.upstream_ended(upstream);
             }
-            gateway.with_load(&upstream.id, |load, now_ms| load.connection_failed(now_ms));
+            gateway.with_load(&upstream.id, |load, now_ms| {
+                load.record_connection_failure(now_ms)
+            });
             count(gateway, job, "connect_failed");
             None
         }
--- a/crates/ivyweir-gateway/src/job.rs
+++ b/crates/ivyweir-gateway/src/job.rs
@@ -8,7 +8,7 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Request, Uri};
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::place::Ask;
+use ivyweir_policy::gateway::placement::PlacementRequest;
 use ivyweir_policy::gateway::quarantine::{Fingerprint, RunKey};
 use ivyweir_policy::gateway::rollout::Side;
 use ivyweir_policy::gateway::site::{Route, Workspace};
@@ -91,17 +91,22 @@
     }
 
     /// What is asked of an upstream for the model in this place.
-    pub fn ask<'a>(&self, model: usize, estimate: Estimate, settings: &'a Settings) -> Ask<'a> {
+    pub fn ask<'a>(
+        &self,
+        model: usize,
+        estimate: Estimate,
+        settings: &'a Settings,
+    ) -> PlacementRequest<'a> {
         let policy = &settings.policy;
         let drawing = self.shared_parts().last().filter(|_| policy.draw_shared);
-        Ask {
+        PlacementRequest {
             prefix: drawing.map(|part| mix(part.id_hash, model as u64)),
             engine: self.tokens().map(|_| estimate),
             hall: &settings.hall,
             far_engine_ms: policy.far_engine_ms,
             avoid_failing: policy.avoid_failing,
             seed: self.seed,
-            apart: None,
+            isolation_hash: None,
         }
     }
 
--- a/crates/ivyweir-gateway/src/state/sending.rs
+++ b/crates/ivyweir-gateway/src/state/sending.rs
@@ -4,7 +4,7 @@
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::owners::{self, Sharing};
 use ivyweir_policy::gateway::pace::ReadingPace;
-use ivyweir_policy::gateway::place::Ask;
+use ivyweir_policy::gateway::placement::PlacementRequest;
 use ivyweir_policy::gateway::quarantine::Fingerprint;
 use ivyweir_policy::gateway::upstreams::{Choice, Scope, SendRules, Unplaced, Withheld};
 use ivyweir_policy::gateway::work::Estimate;
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// When none may take the request now.
-    pub fn choose(&self, scope: &Scope, ask: &Ask) -> Result<Choice, Unplaced> {
+    pub fn choose(&self, scope: &Scope, ask: &PlacementRequest) -> Result<Choice, Unplaced> {
         let now_ms = self.clock.now_ms();
         let rules = self.send_rules(scope.pool, now_ms);
         let mut upstreams = lock(&self.upstreams);
--- a/crates/ivyweir-gateway/src/tries.rs
+++ b/crates/ivyweir-gateway/src/tries.rs
@@ -172,7 +172,7 @@
 ) -> Result<Choice, Unplaced> {
     let mut ask = job.ask(model, gateway.estimate(job, model), &gateway.settings);
     if gateway.suspicion(job.fingerprint) == Suspicion::UpstreamEnded {
-        ask.apart = Some(job.fingerprint.bits());
+        ask.isolation_hash = Some(job.fingerprint.bits());
     }
     let among = |tried: &[Name]| {
         let scope = Scope {
--- a/crates/ivyweir-policy/src/gateway/mod.rs
+++ b/crates/ivyweir-policy/src/gateway/mod.rs
@@ -15,7 +15,7 @@
 pub mod limit;
 pub mod owners;
 pub mod pace;
-pub mod place;
+pub mod placement;
 pub mod proof;
 pub mod quarantine;
 pub mod repeat;
--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -20,7 +20,7 @@
 use crate::gateway::fleet::{Fleet, Standing, UpstreamRecord};
 use crate::gateway::limit::Limit;
 use crate::gateway::owners::Sharing;
-use crate::gateway::place::UpstreamLoad;
+use crate::gateway::placement::UpstreamLoad;
 use crate::gateway::rollout::{RolloutState, Side};
 use crate::gateway::word::Work;
 use crate::rank::hash64;
--- a/crates/ivyweir-policy/src/gateway/upstreams/choice.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/choice.rs
@@ -5,7 +5,7 @@
 use super::{Choice, Scope, SendRules, Target, Unplaced, Upstreams};
 use crate::Name;
 use crate::gateway::fleet::UpstreamRecord;
-use crate::gateway::place::{self, Ask, Candidate};
+use crate::gateway::placement::{self, Candidate, PlacementRequest};
 
 impl Upstreams {
     /// Chooses an upstream.
@@ -16,7 +16,7 @@
     pub fn choose(
         &mut self,
         scope: &Scope,
-        ask: &Ask,
+        ask: &PlacementRequest,
         target: Option<&Target>,
         rules: &SendRules,
         now_ms: u64,
@@ -41,14 +41,14 @@
         &mut self,
         records: &[Arc<UpstreamRecord>],
         homes: Option<usize>,
-        ask: &Ask,
+        ask: &PlacementRequest,
         now_ms: u64,
     ) -> Option<Choice> {
         let candidates: Vec<Candidate> = records.iter().map(|r| self.candidate(r)).collect();
-        let chosen = place::choose_drawn(&candidates, homes, ask, now_ms)?;
+        let chosen = placement::choose_from_sample(&candidates, homes, ask, now_ms)?;
         Some(Choice {
             upstream: records[chosen].clone(),
-            mean_work_ms: place::mean_work_ms(&candidates[homes.unwrap_or(0)..], now_ms),
+            mean_work_ms: placement::mean_work_ms(&candidates[homes.unwrap_or(0)..], now_ms),
             candidates: candidates.len(),
             load_ms: candidates[chosen].load.load_ms(now_ms),
             read_ms: ask.engine.map_or(0.0, |estimate| estimate.read_ms),
@@ -74,7 +74,7 @@
         let known = self.known(&record.id);
         let (id_hash, mut load) = (known.id_hash, known.load.clone());
         if let Some((work_ms, at_ms)) = others {
-            load.others(work_ms, at_ms);
+            load.set_others_work(work_ms, at_ms);
         }
         Candidate {
             record,
--- a/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
@@ -31,7 +31,7 @@
     ) -> Heard {
         if let Some(load) = statement.load {
             let known = self.known(id);
-            known.load.report(load.running, load.waiting, now_ms);
+            known.load.record_report(load.running, load.waiting, now_ms);
         }
         if let Some(RetryAfter::ForMs(for_ms)) = statement.retry_after {
             let own = self.own;
--- a/crates/ivyweir-policy/src/gateway/upstreams/pool.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/pool.rs
@@ -7,7 +7,7 @@
 
 use super::{Choice, Scope, SendRules, Target, Upstreams};
 use crate::gateway::fleet::UpstreamRecord;
-use crate::gateway::place::Ask;
+use crate::gateway::placement::PlacementRequest;
 use crate::gateway::rollout::Side;
 
 /// Upstreams up to which all of a pool are weighed.
@@ -20,7 +20,7 @@
     pub(super) fn choose_of_many(
         &mut self,
         scope: &Scope,
-        ask: &Ask,
+        ask: &PlacementRequest,
         target: Option<&Target>,
         rules: &SendRules,
         now_ms: u64,
@@ -36,7 +36,7 @@
                 && !self.drained_halls.contains(&record.hall)
                 && !scope.tried.contains(&record.id)
         };
-        let key = ask.apart.or(ask.prefix);
+        let key = ask.isolation_hash.or(ask.prefix);
         let home: Vec<Arc<UpstreamRecord>> = key.map_or_else(Vec::new, |key| {
             self.fleet.usable_home(scope.pool, key, may_serve)
         });
--- a/crates/ivyweir-policy/tests/gateway_decisions.rs
+++ b/crates/ivyweir-policy/tests/gateway_decisions.rs
@@ -6,7 +6,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, Doubt, escalate};
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange, UpstreamRecord};
-use ivyweir_policy::gateway::place::{Ask, Candidate, UpstreamLoad, choose};
+use ivyweir_policy::gateway::placement::{Candidate, PlacementRequest, UpstreamLoad, choose};
 use ivyweir_policy::gateway::proof::Proof;
 use ivyweir_policy::gateway::repeat::{RepeatBudget, RepeatLimits};
 use ivyweir_policy::gateway::site::{
@@ -187,15 +187,15 @@
     out: 300,
 };
 
-fn ask(prefix: Option<u64>, tokens: Option<Tokens>, seed: u64) -> Ask<'static> {
-    Ask {
+fn ask(prefix: Option<u64>, tokens: Option<Tokens>, seed: u64) -> PlacementRequest<'static> {
+    PlacementRequest {
         prefix,
         engine: tokens.map(|tokens| estimate(Some(tokens), MS_PER_TOKEN[0])),
         hall: "a",
         far_engine_ms: 400.0,
         avoid_failing: true,
         seed,
-        apart: None,
+        isolation_hash: None,
     }
 }
 
@@ -251,7 +251,7 @@
 fn an_upstream_that_cannot_be_reached_is_left_alone_for_a_while() {
     let records = [record("near", "a"), record("far", "b")];
     let mut near = UpstreamLoad::default();
-    near.connection_failed(0);
+    near.record_connection_failure(0);
     let chosen = |now_ms| {
         let far = UpstreamLoad::default();
         let near = candidate(&records[0], 1, near.clone());
@@ -396,8 +396,8 @@
     let mut next = std::collections::HashMap::<usize, usize>::new();
     for request in 0..43 {
         let apart = Some(ivyweir_policy::rank::hash64(&[&[request]]));
-        let ask = Ask {
-            apart,
+        let ask = PlacementRequest {
+            isolation_hash: apart,
             ..ask(None, Some(LONG), 0)
         };
         let chosen = choose(&idle, &ask, 0).expect("one");
--- a/crates/ivyweir-policy/tests/gateway_large_pools.rs
+++ b/crates/ivyweir-policy/tests/gateway_large_pools.rs
@@ -7,7 +7,7 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange, UpstreamRecord};
-use ivyweir_policy::gateway::place::Ask;
+use ivyweir_policy::gateway::placement::PlacementRequest;
 use ivyweir_policy::gateway::upstreams::{Choice, Scope, SendRules, Unplaced, Upstreams};
 use ivyweir_policy::gateway::work::Estimate;
 use ivyweir_policy::rank::{hash64, mix};
@@ -43,8 +43,8 @@
     upstreams
 }
 
-fn ask(prefix: Option<u64>, seed: u64) -> Ask<'static> {
-    Ask {
+fn ask(prefix: Option<u64>, seed: u64) -> PlacementRequest<'static> {
+    PlacementRequest {
         prefix: prefix.map(|prefix| mix(prefix, 7)),
         engine: Some(Estimate {
             read_ms: 50.0,
@@ -55,11 +55,15 @@
         far_engine_ms: 0.0,
         avoid_failing: true,
         seed: mix(seed, 3),
-        apart: None,
+        isolation_hash: None,
     }
 }
 
-fn choose(upstreams: &mut Upstreams, ask: &Ask, tried: &[Name]) -> Result<Choice, Unplaced> {
+fn choose(
+    upstreams: &mut Upstreams,
+    ask: &PlacementRequest,
+    tried: &[Name],
+) -> Result<Choice, Unplaced> {
     let pool = Name::from("engines");
     let scope = Scope {
         pool: &pool,
@@ -69,7 +73,7 @@
     upstreams.choose(&scope, ask, None, &SendRules::default(), 1_000)
 }
 
-fn chosen(upstreams: &mut Upstreams, ask: &Ask) -> Name {
+fn chosen(upstreams: &mut Upstreams, ask: &PlacementRequest) -> Name {
     let choice = choose(upstreams, ask, &[]).expect("an upstream");
     choice.upstream.id.clone()
 }
@@ -203,8 +207,8 @@
     let mut other = pool_of((0..1_000).rev(), 2);
     for n in 0..100 {
         let own = hash64(&[b"request", &[n]]);
-        let apart = |seed| Ask {
-            apart: Some(own),
+        let apart = |seed| PlacementRequest {
+            isolation_hash: Some(own),
             ..ask(None, seed)
         };
         assert_eq!(chosen(&mut one, &apart(1)), chosen(&mut other, &apart(2)));
--- a/crates/ivyweir-policy/tests/gateway_rollout_load.rs
+++ b/crates/ivyweir-policy/tests/gateway_rollout_load.rs
@@ -5,7 +5,7 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
-use ivyweir_policy::gateway::place::Ask;
+use ivyweir_policy::gateway::placement::PlacementRequest;
 use ivyweir_policy::gateway::rollout::{RolloutState, Side};
 use ivyweir_policy::gateway::upstreams::{Scope, SendRules, Target, Upstreams};
 use ivyweir_policy::rank::mix;
@@ -48,14 +48,14 @@
         tried,
     };
     let choose = |seed: u64| {
-        let ask = Ask {
+        let ask = PlacementRequest {
             prefix: None,
             engine: None,
             hall: "h",
             far_engine_ms: 0.0,
             avoid_failing: true,
             seed: mix(seed, 3),
-            apart: None,
+            isolation_hash: None,
         };
         let choice = upstreams.choose(&scope, &ask, Some(&target), &SendRules::default(), 0);
         choice.expect("an upstream").upstream.id.clone()
--- a/crates/ivyweir-policy/tests/gateway_statements.rs
+++ b/crates/ivyweir-policy/tests/gateway_statements.rs
@@ -5,7 +5,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::backoff::Backoff;
 use ivyweir_policy::gateway::fleet::{FleetChange, UpstreamRecord};
-use ivyweir_policy::gateway::place::Ask;
+use ivyweir_policy::gateway::placement::PlacementRequest;
 use ivyweir_policy::gateway::statement::{RetryAfter, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{Scope, SendRules, Unplaced, Upstreams, Withheld};
 use ivyweir_policy::gateway::wait::{Held, Queue, come_back_ms};
@@ -245,15 +245,15 @@
     assert!(backoff_ms(&mut upstreams, 400) > 0);
 }
 
-fn ask() -> Ask<'static> {
-    Ask {
+fn ask() -> PlacementRequest<'static> {
+    PlacementRequest {
         prefix: None,
         engine: None,
         hall: "h",
         far_engine_ms: 0.0,
         avoid_failing: true,
         seed: 7,
-        apart: None,
+        isolation_hash: None,
     }
 }
 
