--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -19,7 +19,7 @@
     BoxRecord, KeptRoot, ShunPauses, Shunned, Source, View, relay_of,
 };
 use ivyweir_policy::gateway::joined::{Joined, ListMark, ListNews, SeedLists};
-use ivyweir_policy::gateway::owners::Owners;
+use ivyweir_policy::gateway::quota::QuotaOwners;
 use ivyweir_policy::gateway::word::{OthersWords, Repeats, Word, Work, add_repeats, add_work};
 use ivyweir_policy::rank::hash64;
 use tokio::sync::watch;
@@ -69,7 +69,7 @@
     /// The sum of all boxes' words that was told last.
     fleet_sum: Mutex<Option<FleetSum>>,
     /// The boxes that share what cold upstreams bear.
-    owners: Mutex<Arc<Owners>>,
+    owners: Mutex<Arc<QuotaOwners>>,
     /// When this box last joined at another one.
     joined_at_ms: AtomicU64,
 }
@@ -184,7 +184,7 @@
     }
 
     /// The boxes that share what cold upstreams bear, by the boxes known.
-    pub fn owners(&self) -> Arc<Owners> {
+    pub fn owners(&self) -> Arc<QuotaOwners> {
         lock(&self.owners).clone()
     }
 
@@ -380,10 +380,10 @@
 }
 
 /// The boxes among which `me` shares what cold upstreams bear.
-fn owners_among(me: &BoxRecord, others: &HashMap<Name, BoxRecord>) -> Owners {
+fn owners_among(me: &BoxRecord, others: &HashMap<Name, BoxRecord>) -> QuotaOwners {
     let hash = |name: &Name| hash64(&[name.as_bytes()]);
     let of_hall = others.values().filter(|record| record.hall == me.hall);
-    Owners::new(
+    QuotaOwners::new(
         others.values().map(|record| hash(&record.hall)).collect(),
         hash(&me.hall),
         of_hall.map(|record| hash(&record.name)).collect(),
--- a/crates/ivyweir-gateway/src/state/sending.rs
+++ b/crates/ivyweir-gateway/src/state/sending.rs
@@ -2,10 +2,10 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
-use ivyweir_policy::gateway::owners::{self, Sharing};
 use ivyweir_policy::gateway::pace::ReadingPace;
 use ivyweir_policy::gateway::placement::PlacementRequest;
 use ivyweir_policy::gateway::quarantine::Fingerprint;
+use ivyweir_policy::gateway::quota::{self, QuotaShare};
 use ivyweir_policy::gateway::upstreams::{Choice, Scope, SendRules, Unplaced, Withheld};
 use ivyweir_policy::gateway::work::Estimate;
 use serde_json::json;
@@ -87,9 +87,9 @@
     fn send_rules(&self, pool: &Name, now_ms: u64) -> SendRules {
         let site = self.site();
         let cold_start = site.and_then(|site| site.pool(pool)?.cold_start);
-        let may_own = owners::may_own(now_ms, self.peers.since_joined_ms(now_ms));
+        let may_own = quota::may_own(now_ms, self.peers.since_joined_ms(now_ms));
         SendRules {
-            sharing: Sharing::new(self.peers.owners(), may_own, self.peers.fleet_size()),
+            sharing: QuotaShare::new(self.peers.owners(), may_own, self.peers.fleet_size()),
             cold_limit: cold_start.map(|start| start.limit()),
         }
     }
--- a/crates/ivyweir-gateway/src/state/statements.rs
+++ b/crates/ivyweir-gateway/src/state/statements.rs
@@ -2,7 +2,7 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::FleetChange;
-use ivyweir_policy::gateway::limit::{LimitChange, ToldLimit};
+use ivyweir_policy::gateway::rate_limit::{LimitChange, LimitUpdate};
 use ivyweir_policy::gateway::statement::{NamedLimit, Source, Statement};
 use serde_json::json;
 
@@ -21,7 +21,7 @@
             self.log_limit(id, change, statement.source);
         }
         // Limits that move, or end, are told with the next round: they may move with each answer.
-        let begins = matches!(heard.limit, Some(LimitChange::Began(_)));
+        let begins = matches!(heard.limit, Some(LimitChange::Started(_)));
         let is_news = heard.fleet != FleetChange::Nothing || begins;
         if is_news && self.passes_on(statement.source) {
             self.urgent.notify_one();
@@ -31,8 +31,8 @@
     fn log_limit(&self, id: &Name, change: LimitChange, source: Source) {
         let per_s = match change {
             // A limit that moves is told by each box that the upstream itself told: as many lines as answers.
-            LimitChange::Moved(_) if source == Source::Peer => return,
-            LimitChange::Began(per_1000_s) | LimitChange::Moved(per_1000_s) => {
+            LimitChange::Changed(_) if source == Source::Peer => return,
+            LimitChange::Started(per_1000_s) | LimitChange::Changed(per_1000_s) => {
                 NamedLimit::Per1000S(per_1000_s).per_s()
             }
             LimitChange::Ended => None,
@@ -68,14 +68,14 @@
     }
 
     /// Takes in what other boxes know of upstreams' limits.
-    pub fn hear_limits(&self, limits: &[ToldLimit]) {
+    pub fn hear_limits(&self, limits: &[LimitUpdate]) {
         for told in limits {
             self.hear(&told.upstream, &told.statement());
         }
     }
 
     /// What other boxes are to know of upstreams' limits.
-    pub fn limits(&self) -> Vec<ToldLimit> {
+    pub fn limits(&self) -> Vec<LimitUpdate> {
         let now_ms = self.clock.now_ms();
         lock(&self.upstreams).limits(now_ms)
     }
--- a/crates/ivyweir-policy/src/gateway/cold.rs
+++ b/crates/ivyweir-policy/src/gateway/cold.rs
@@ -1,7 +1,7 @@
 //! How many requests a box may send to an upstream that is cold.
 //!
 //! For some seconds after its start, and at times later, an upstream bears a few requests a second and falls
-//! over well above that. The rate is a sum over all boxes, so it is shared out among [owners](super::owners).
+//! over well above that. The rate is a sum over all boxes, so it is shared out among [owners](super::quota).
 //! A box that owns no part of an upstream's rate sends nothing there while it is cold.
 
 use std::collections::VecDeque;
--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -18,9 +18,9 @@
 use crate::gateway::cold::RecentSends;
 use crate::gateway::departures::Departures;
 use crate::gateway::fleet::{Fleet, Standing, UpstreamRecord};
-use crate::gateway::limit::Limit;
-use crate::gateway::owners::Sharing;
 use crate::gateway::placement::UpstreamLoad;
+use crate::gateway::quota::QuotaShare;
+use crate::gateway::rate_limit::Limit;
 use crate::gateway::rollout::{RolloutState, Side};
 use crate::gateway::word::Work;
 use crate::rank::hash64;
@@ -67,8 +67,8 @@
 
 impl Known {
     /// Whether this box's part of what the upstream bears while it is cold is not used up.
-    fn bears_one(&self, sharing: &Sharing, limit: u32, now_ms: u64) -> bool {
-        self.sends.count(now_ms) < sharing.own_part(self.id_hash, limit)
+    fn bears_one(&self, sharing: &QuotaShare, limit: u32, now_ms: u64) -> bool {
+        self.sends.count(now_ms) < sharing.own_parts(self.id_hash, limit)
     }
 }
 
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct SendRules {
     /// How boxes share what an upstream takes.
-    pub sharing: Sharing,
+    pub sharing: QuotaShare,
     /// Requests that an upstream may get within a second while it is cold, over all boxes; none where they are never
     /// cold.
     pub cold_limit: Option<u32>,
@@ -251,7 +251,7 @@
             }
             let is_kept = known.load.in_flight() > 0
                 || known.backoff.binds(now_ms)
-                || known.limit.told(id, now_ms).is_some();
+                || known.limit.update_for_peers(id, now_ms).is_some();
             has_kept |= is_kept;
             is_kept
         });
@@ -279,7 +279,7 @@
         let places = usable.iter().map(|record| {
             let own_part = (record.slots / boxes.max(1)).max(1);
             let known = self.known(&record.id);
-            let limit = known.limit.room_by(until_ms).unwrap_or(u32::MAX);
+            let limit = known.limit.available_by(until_ms).unwrap_or(u32::MAX);
             known.backoff.room_by(until_ms).min(limit).min(own_part)
         });
         places.fold(0, u32::saturating_add)
--- a/crates/ivyweir-policy/src/gateway/upstreams/gate.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/gate.rs
@@ -38,7 +38,7 @@
         if for_ms > 0 {
             return Err(Withheld::Backoff { for_ms });
         }
-        let for_ms = known.limit.left_ms(&rules.sharing, known.id_hash, now_ms);
+        let for_ms = known.limit.wait_ms(&rules.sharing, known.id_hash, now_ms);
         if for_ms > 0 {
             return Err(Withheld::Limited { for_ms });
         }
@@ -62,7 +62,7 @@
         self.may_send(id, rules, now_ms)?;
         let known = self.known(id);
         known.backoff.note_send();
-        known.limit.note_send(now_ms);
+        known.limit.record_send(now_ms);
         if rules.cold_limit.is_some() {
             // Counted while it is warm too: it may turn cold within the second.
             known.sends.note(now_ms);
--- a/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
@@ -3,7 +3,7 @@
 use super::Upstreams;
 use crate::Name;
 use crate::gateway::fleet::FleetChange;
-use crate::gateway::limit::{LimitChange, ToldLimit};
+use crate::gateway::rate_limit::{LimitChange, LimitUpdate};
 use crate::gateway::statement::{NamedLimit, RetryAfter, Statement};
 use crate::rank::mix;
 
@@ -64,27 +64,27 @@
                 let own = self.own;
                 let known = self.known(id);
                 let first = unit(mix(own, known.id_hash));
-                known.limit.named(per_1000_s, first, said_at_ms)
+                known.limit.announce(per_1000_s, first, said_at_ms)
             }
             Some(NamedLimit::Ended) => {
                 self.limited.insert(id.clone());
-                self.known(id).limit.ended(said_at_ms)
+                self.known(id).limit.end(said_at_ms)
             }
             // One that cannot be read neither sets nor ends a limit.
             Some(NamedLimit::Unreadable) => None,
             None => {
                 let asked_at_ms = now_ms.saturating_sub(statement.answered_after_ms?);
                 let known = self.loads.get_mut(id)?;
-                known.limit.unnamed(asked_at_ms, now_ms)
+                known.limit.observe_unlimited_answer(asked_at_ms, now_ms)
             }
         }
     }
 
     /// What other boxes are to know of upstreams' limits, the latest of them.
-    pub fn limits(&self, now_ms: u64) -> Vec<ToldLimit> {
+    pub fn limits(&self, now_ms: u64) -> Vec<LimitUpdate> {
         let limited = self.limited.iter();
-        let told = limited.filter_map(|id| self.loads.get(id)?.limit.told(id, now_ms));
-        let mut told: Vec<ToldLimit> = told.collect();
+        let told = limited.filter_map(|id| self.loads.get(id)?.limit.update_for_peers(id, now_ms));
+        let mut told: Vec<LimitUpdate> = told.collect();
         told.sort_by(|a, b| (a.age_ms, &a.upstream).cmp(&(b.age_ms, &b.upstream)));
         told.truncate(LIMITS_TOLD);
         told
--- a/crates/ivyweir-policy/src/gateway/word.rs
+++ b/crates/ivyweir-policy/src/gateway/word.rs
@@ -8,8 +8,8 @@
 use crate::Name;
 use crate::gateway::canary::{Tally, add_tally};
 use crate::gateway::duty::usage::UsageNews;
-use crate::gateway::limit::ToldLimit;
 use crate::gateway::quarantine::LedgerUpdate;
+use crate::gateway::rate_limit::LimitUpdate;
 use crate::gateway::repeat::RepeatCounts;
 
 /// Age at which what was told says nothing any more.
@@ -172,7 +172,7 @@
     pub departures: Vec<Name>,
     /// What upstreams said lately of how many requests they take from all boxes together.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<LimitUpdate>,
     /// What is new of requests under which upstreams ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quarantine: Option<LedgerUpdate>,
--- a/crates/ivyweir-policy/tests/common/mod.rs
+++ b/crates/ivyweir-policy/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::hall::BoxRecord;
 use ivyweir_policy::gateway::joined::{Joined, SeedLists};
-use ivyweir_policy::gateway::owners::{Owners, Sharing, may_own};
+use ivyweir_policy::gateway::quota::{QuotaOwners, QuotaShare, may_own};
 use ivyweir_policy::rank::hash64;
 use proptest::prelude::*;
 
@@ -62,7 +62,7 @@
     joined: Joined,
     lists: SeedLists,
     joined_at_ms: u64,
-    owners: Arc<Owners>,
+    owners: Arc<QuotaOwners>,
     fleet_size: usize,
 }
 
@@ -116,10 +116,10 @@
     }
 
     /// How it shares what upstreams take with others now.
-    pub fn sharing(&self, now_ms: u64) -> Sharing {
+    pub fn sharing(&self, now_ms: u64) -> QuotaShare {
         let up_ms = self.started_ms.map_or(0, |at| now_ms - at);
         let since_joined_ms = now_ms.saturating_sub(self.joined_at_ms);
-        Sharing::new(
+        QuotaShare::new(
             self.owners.clone(),
             may_own(up_ms, Some(since_joined_ms)),
             self.fleet_size,
@@ -127,12 +127,12 @@
     }
 
     /// The boxes it knows, as the daemon merges them.
-    fn owners_among(&self, now_ms: u64) -> Owners {
+    fn owners_among(&self, now_ms: u64) -> QuotaOwners {
         let mut others: HashMap<Name, BoxRecord> = self.lists.boxes();
         let joined = self.joined.list_for(&self.record.hall, now_ms);
         others.extend(joined.into_iter().map(|r| (r.name.clone(), r)));
         let in_hall = others.values().filter(|r| r.hall == self.record.hall);
-        Owners::new(
+        QuotaOwners::new(
             others.values().map(|r| hash(&r.hall)).collect(),
             hash(&self.record.hall),
             in_hall.map(|r| hash(&r.name)).collect(),
--- a/crates/ivyweir-policy/tests/gateway_cold.rs
+++ b/crates/ivyweir-policy/tests/gateway_cold.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use ivyweir_policy::gateway::cold::{ColdStart, RecentSends};
-use ivyweir_policy::gateway::owners::{Owners, may_own};
+use ivyweir_policy::gateway::quota::{QuotaOwners, may_own};
 use ivyweir_policy::rank::hash64;
 use proptest::prelude::*;
 
@@ -17,7 +17,7 @@
 };
 /// Requests of one second from which such an upstream may fall over: its rate times 1.5, and 5 more.
 const FALLS_OVER_AT: usize = 18;
-fn fleet_owners(boxes: usize, halls: usize) -> Vec<Owners> {
+fn fleet_owners(boxes: usize, halls: usize) -> Vec<QuotaOwners> {
     let hall_of = |n: usize| hash(&format!("hall-{}", n % halls));
     let all_halls: Vec<u64> = (0..halls).map(hall_of).collect();
     (0..boxes)
@@ -25,7 +25,7 @@
             let in_hall = (0..boxes).filter(|other| other % halls == n % halls);
             let names = in_hall.map(|other| hash(&format!("box-{other}")));
             let own = hash(&format!("box-{n}"));
-            Owners::new(all_halls.clone(), hall_of(n), names.collect(), own)
+            QuotaOwners::new(all_halls.clone(), hall_of(n), names.collect(), own)
         })
         .collect()
 }
@@ -36,7 +36,7 @@
         fn $name() {
             let owners = fleet_owners($boxes, $halls);
             for upstream in 0..50 {
-                let parts = owners.iter().map(|o| o.own_part(hash(&format!("u-{upstream}")), $limit));
+                let parts = owners.iter().map(|o| o.own_parts(hash(&format!("u-{upstream}")), $limit));
                 assert_eq!(parts.sum::<u32>(), $limit);
             }
         }
@@ -55,9 +55,9 @@
 #[test]
 fn boxes_own_parts_of_about_equally_many_upstreams() {
     let owners = fleet_owners(40, 4);
-    let owned = |o: &Owners| -> u32 {
+    let owned = |o: &QuotaOwners| -> u32 {
         (0..400)
-            .map(|n| o.own_part(hash64(&[&[n as u8, (n >> 8) as u8]]), 8))
+            .map(|n| o.own_parts(hash64(&[&[n as u8, (n >> 8) as u8]]), 8))
             .sum()
     };
     let counts: Vec<u32> = owners.iter().map(owned).collect();
@@ -127,7 +127,7 @@
             if *starts != sim.starts {
                 (*starts, *own) = (sim.starts, RecentSends::default());
             }
-            let part = sim.sharing(now_ms).own_part(UPSTREAM, START.limit());
+            let part = sim.sharing(now_ms).own_parts(UPSTREAM, START.limit());
             while own.count(now_ms) < part {
                 own.note(now_ms);
                 sent.push(now_ms);
--- a/crates/ivyweir-policy/tests/gateway_limit.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit.rs
@@ -5,8 +5,8 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
-use ivyweir_policy::gateway::limit::LimitChange;
-use ivyweir_policy::gateway::owners::{Owners, Sharing};
+use ivyweir_policy::gateway::quota::{QuotaOwners, QuotaShare};
+use ivyweir_policy::gateway::rate_limit::LimitChange;
 use ivyweir_policy::gateway::statement::{NamedLimit, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{SendRules, Upstreams, Withheld};
 
@@ -37,7 +37,7 @@
 /// All parts are the box's own. There are so many boxes that its turn to ask whether a limit stands does not come.
 fn alone() -> SendRules {
     SendRules {
-        sharing: Sharing::new(Arc::default(), true, 1_000_000),
+        sharing: QuotaShare::new(Arc::default(), true, 1_000_000),
         cold_limit: None,
     }
 }
@@ -210,9 +210,9 @@
     ]
     .map(|heard| hear(&mut upstreams, heard));
     let expected = [
-        Some(LimitChange::Began(1_000)),
+        Some(LimitChange::Started(1_000)),
         None,
-        Some(LimitChange::Moved(1_500)),
+        Some(LimitChange::Changed(1_500)),
         Some(LimitChange::Ended),
         None,
     ];
@@ -265,7 +265,7 @@
     let mut upstreams = one_upstream();
     hear(&mut upstreams, Heard::Names(5.0, 0));
     let rules = SendRules {
-        sharing: Sharing::new(no_part(), true, 3),
+        sharing: QuotaShare::new(no_part(), true, 3),
         cold_limit: None,
     };
     assert!(send_all(&mut upstreams, &rules, 0, 8_000).is_empty());
@@ -279,9 +279,9 @@
 }
 
 /// A hall of others, which own all parts.
-fn no_part() -> Arc<Owners> {
+fn no_part() -> Arc<QuotaOwners> {
     let others = (1..=200).collect();
-    Arc::new(Owners::new(vec![1], 1, others, u64::MAX))
+    Arc::new(QuotaOwners::new(vec![1], 1, others, u64::MAX))
 }
 
 #[test]
--- a/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
@@ -5,7 +5,7 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
-use ivyweir_policy::gateway::limit::ToldLimit;
+use ivyweir_policy::gateway::rate_limit::LimitUpdate;
 use ivyweir_policy::gateway::statement::{NamedLimit, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{SendRules, Upstreams};
 use ivyweir_standins::edge::{Arrival, LimitPromise};
@@ -105,7 +105,7 @@
 }
 
 /// Takes in what another box knows.
-fn take(own: &mut Own, told: &[ToldLimit], now_ms: u64) {
+fn take(own: &mut Own, told: &[LimitUpdate], now_ms: u64) {
     for told in told {
         own.hear(&told.statement(), now_ms);
     }
