--- a/crates/ivyweir-policy/src/gateway/quarantine/ledger.rs
+++ b/crates/ivyweir-policy/src/gateway/quarantine/ledger.rs
@@ -175,7 +175,8 @@
         }
     }
 
-    fn to_end(&self, now_ms: i64) -> UpstreamEnd {
+    /// Converts the ages to times of the clock of this box.
+    fn resolve(&self, now_ms: i64) -> UpstreamEnd {
         let at_ms = now_ms.saturating_sub(self.ago_ms);
         UpstreamEnd {
             upstream: self.upstream,
@@ -498,7 +499,7 @@
         .cleared_ago_ms
         .is_some_and(|ago_ms| suspect.clear(now_ms.saturating_sub(ago_ms)));
     for end in &update.ends {
-        is_changed |= suspect.add_end(end.to_end(now_ms));
+        is_changed |= suspect.add_end(end.resolve(now_ms));
     }
     let is_newly_quarantined =
         update.is_quarantined && !suspect.is_quarantined_elsewhere && !suspect.ends.is_empty();
--- a/crates/ivyweir-policy/src/gateway/quarantine/runs.rs
+++ b/crates/ivyweir-policy/src/gateway/quarantine/runs.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// RunRegistry of one box, by upstream.
+/// Runs of one box, by upstream.
 #[derive(Debug, Default)]
 pub struct RunRegistry {
     by_upstream: HashMap<Name, Vec<Run>>,
--- a/crates/ivyweir-policy/src/gateway/quarantine/sync.rs
+++ b/crates/ivyweir-policy/src/gateway/quarantine/sync.rs
@@ -23,7 +23,7 @@
 pub struct LedgerPosition {
     /// Id of the ledger: a number drawn when the box starts.
     pub ledger: u64,
-    /// Number of the last state change.
+    /// Number of the last known change.
     pub change: u64,
 }
 
