--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -109,13 +109,13 @@
     pub fn outcome(&self, failed: bool) {
         let id = &self.upstream.id;
         self.gateway
-            .with_load(id, |load, now_ms| load.outcome(failed, now_ms));
+            .with_load(id, |load, now_ms| load.record_outcome(failed, now_ms));
     }
 
     /// Takes in that the connection broke, and finds out whether the upstream itself ended.
     pub fn broke(&mut self) {
         self.outcome(true);
-        self.leave(RunEnd::Broken);
+        self.leave(RunEnd::ConnectionLost);
         self.gateway.run_broke(self.key.fingerprint);
         ends::look(&self.gateway, &self.upstream);
     }
@@ -126,9 +126,9 @@
         // An answer that was put aside may have broken off unread.
         if self.is_running && self.channel.as_ref().is_some_and(Channel::is_closed) {
             ends::look(&self.gateway, &self.upstream);
-            self.leave(RunEnd::Broken);
+            self.leave(RunEnd::ConnectionLost);
         }
-        self.leave(RunEnd::Taken);
+        self.leave(RunEnd::Cancelled);
         let left_ms = self.work_left_ms();
         self.gateway
             .with_load(&self.upstream.id, |load, _| load.end(left_ms));
@@ -240,7 +240,9 @@
             Ok(Err(SendError::NotSent)) if is_kept => lease.settle(),
             Ok(Err(SendError::NotSent)) => {
                 lease.settle();
-                gateway.with_load(&upstream.id, |load, now_ms| load.connection_failed(now_ms));
+                gateway.with_load(&upstream.id, |load, now_ms| {
+                    load.record_connection_failure(now_ms)
+                });
                 trace.fail("not_sent", json!({"upstream": upstream.id}));
                 count(gateway, job, "not_sent");
                 return Sent::NotRun { arrived: false };
@@ -280,7 +282,9 @@
             if e.kind() == io::ErrorKind::ConnectionRefused {
                 gateway.upstream_ended(upstream);
             }
-            gateway.with_load(&upstream.id, |load, now_ms| load.connection_failed(now_ms));
+            gateway.with_load(&upstream.id, |load, now_ms| {
+                load.record_connection_failure(now_ms)
+            });
             count(gateway, job, "connect_failed");
             None
         }
--- a/crates/ivyweir-policy/src/gateway/mod.rs
+++ b/crates/ivyweir-policy/src/gateway/mod.rs
@@ -3,6 +3,7 @@
 //! Each type is plain data that is handed the time; the gateway's I/O lives in `ivyweir-gateway`.
 
 pub mod backoff;
+pub mod canary;
 pub mod cascade;
 pub mod cold;
 pub mod copies;
@@ -11,12 +12,12 @@
 pub mod fleet;
 pub mod hall;
 pub mod joined;
-pub mod limit;
-pub mod owners;
 pub mod pace;
-pub mod place;
+pub mod placement;
 pub mod proof;
 pub mod quarantine;
+pub mod quota;
+pub mod rate_limit;
 pub mod repeat;
 pub mod revision;
 pub mod rollout;
@@ -24,7 +25,6 @@
 pub mod slowness;
 pub mod statement;
 pub mod upstreams;
-pub mod verdict;
 pub mod wait;
 pub mod word;
 pub mod work;
--- a/crates/ivyweir-policy/src/gateway/word.rs
+++ b/crates/ivyweir-policy/src/gateway/word.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
+use crate::gateway::canary::{Tally, add_tally};
 use crate::gateway::duty::usage::UsageNews;
-use crate::gateway::limit::ToldLimit;
-use crate::gateway::quarantine::LedgerNews;
+use crate::gateway::quarantine::LedgerUpdate;
+use crate::gateway::rate_limit::LimitUpdate;
 use crate::gateway::repeat::RepeatCounts;
-use crate::gateway::verdict::{Tally, add_tally};
 
 /// Age at which what was told says nothing any more.
 const TOLD_MAX_AGE_MS: u64 = 1_200;
@@ -172,10 +172,10 @@
     pub departures: Vec<Name>,
     /// What upstreams said lately of how many requests they take from all boxes together.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<LimitUpdate>,
     /// What is new of requests under which upstreams ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub quarantine: Option<LedgerNews>,
+    pub quarantine: Option<LedgerUpdate>,
     /// What is new of requests that began, where usage is reported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<UsageNews>,
