--- a/crates/ivyweir-gateway/src/adopt.rs
+++ b/crates/ivyweir-gateway/src/adopt.rs
@@ -182,7 +182,7 @@
 fn adopt_site(gateway: &Gateway, revision: Revision, mut site: Site) {
     let (version, routes) = (site.version, site.routes.len());
     for pool in &mut site.pools {
-        if let Some(start) = pool.cold_start.take_if(|start| !start.is_sane()) {
+        if let Some(start) = pool.cold_start.take_if(|start| !start.is_valid()) {
             let detail = json!({"pool": pool.name, "requests_per_s": start.requests_per_s});
             gateway.log.line("cold_rate_ignored", detail);
         }
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -5,7 +5,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, header};
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::cascade::{self, Doubt};
+use ivyweir_policy::gateway::cascade::{self, EscalationInput};
 use ivyweir_policy::gateway::statement::NamedLimit;
 use serde_json::json;
 
@@ -233,13 +233,13 @@
     let models = job.route.models.len();
     let read_ms = gateway.estimate(job, models.saturating_sub(1)).read_ms;
     let late_at_ms = job.arrived_ms + job.route.latency_aim_ms;
-    let larger = cascade::escalate(&Doubt {
+    let larger = cascade::escalate(&EscalationInput {
         confidence: reply.marks.confidence,
         floor: gateway.settings.policy.confidence_floor,
         model: tries.model,
         models,
         wait_ms: choose(gateway, job, &[], tries.model).ok()?.mean_work_ms + read_ms,
-        left_ms: late_at_ms.saturating_sub(gateway.clock.now_ms()) as f64,
+        remaining_ms: late_at_ms.saturating_sub(gateway.clock.now_ms()) as f64,
     })?;
     may_repeat(gateway, job, tries).then_some(larger)
 }
--- a/crates/ivyweir-gateway/src/settings.rs
+++ b/crates/ivyweir-gateway/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, CONFIDENCE_FULL};
+use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, MAX_CONFIDENCE};
 use ivyweir_policy::gateway::duty::report::UsageTerms;
 use ivyweir_policy::gateway::repeat::RepeatLimits;
 use serde::Deserialize;
@@ -328,7 +328,7 @@
         );
         let floor = self.policy.confidence_floor;
         ensure!(
-            floor <= CONFIDENCE_FULL,
+            floor <= MAX_CONFIDENCE,
             RangeSnafu {
                 field: "policy.confidence_floor",
                 found: floor.to_string(),
--- a/crates/ivyweir-gateway/src/state/waiting.rs
+++ b/crates/ivyweir-gateway/src/state/waiting.rs
@@ -6,7 +6,7 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::upstreams::Scope;
-use ivyweir_policy::gateway::wait::{Held, Queue, Ticket};
+use ivyweir_policy::gateway::wait::{BlockedRequest, Queue, Ticket};
 use tokio::time::sleep;
 
 use super::{Gateway, lock};
@@ -48,7 +48,7 @@
     fn drop(&mut self) {
         let mut queues = lock(&self.gateway.queues);
         if let Some(queue) = queues.get_mut(&self.pool) {
-            queue.leave(self.ticket);
+            queue.remove(self.ticket);
             if queue.is_empty() {
                 queues.remove(&self.pool);
             }
@@ -67,7 +67,7 @@
         Waiter {
             gateway: self.clone(),
             pool: job.pool.clone(),
-            ticket: queue.join(job.rank(), job.arrived_ms),
+            ticket: queue.push(job.rank(), job.arrived_ms),
         }
     }
 
@@ -86,14 +86,14 @@
             let queue = queues.get(&job.pool);
             queue.map_or(0, |queue| queue.ahead_of_new(job.rank(), job.arrived_ms))
         });
-        let held = Held {
+        let held = BlockedRequest {
             for_ms,
-            to_aim_ms: (job.arrived_ms + job.route.latency_aim_ms).saturating_sub(now_ms),
+            to_target_ms: (job.arrived_ms + job.route.latency_aim_ms).saturating_sub(now_ms),
             to_deadline_ms: job.deadline_ms.saturating_sub(now_ms),
-            read_ms: read_ms as u64,
+            prefill_ms: read_ms as u64,
             ahead,
         };
-        held.waits(|within_ms| self.places_within(job, now_ms + within_ms))
+        held.should_wait(|within_ms| self.places_within(job, now_ms + within_ms))
     }
 
     /// Whether an upstream takes a request of this box until then, where the first one may do so after `for_ms`.
--- a/crates/ivyweir-gateway/src/tries.rs
+++ b/crates/ivyweir-gateway/src/tries.rs
@@ -4,7 +4,7 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::upstreams::{Choice, Scope, Unplaced};
-use ivyweir_policy::gateway::wait::come_back_ms;
+use ivyweir_policy::gateway::wait::spread_retry_after_ms;
 use serde_json::json;
 
 use crate::attempt::{self, Reply, Sending, Sent};
@@ -192,7 +192,7 @@
         Unplaced::HallsDrained => Reason::HallsDrained,
         Unplaced::AllCold => Reason::AllCold,
         Unplaced::AllBackingOff { for_ms } => Reason::AllBackingOff {
-            come_back_ms: come_back_ms(for_ms, job.rank(), job.seed),
+            come_back_ms: spread_retry_after_ms(for_ms, job.rank(), job.seed),
         },
     }
 }
--- a/crates/ivyweir-gateway/tests/clock.rs
+++ b/crates/ivyweir-gateway/tests/clock.rs
@@ -46,7 +46,7 @@
 fn what_was_sent_before_a_suspension_is_past() {
     let (machine, clock) = machine();
     let mut sends = RecentSends::default();
-    sends.note(clock.now_ms());
+    sends.record(clock.now_ms());
     machine.pass(3_000);
     assert_eq!(sends.count(clock.now_ms()), 0);
 }
--- a/crates/ivyweir-policy/src/gateway/cold.rs
+++ b/crates/ivyweir-policy/src/gateway/cold.rs
@@ -1,38 +1,38 @@
-//! How many requests a box may send to an upstream that is cold.
+//! Rate limit for requests to a cold upstream.
 //!
-//! For some seconds after its start, and at times later, an upstream bears a few requests a second and falls
-//! over well above that. The rate is a sum over all boxes, so it is shared out among [owners](super::owners).
-//! A box that owns no part of an upstream's rate sends nothing there while it is cold.
+//! For some seconds after its start, and occasionally later, an upstream handles only a few requests per second and
+//! fails well above that rate. The rate is a total over all boxes, so it is divided among [owners](super::owners).
+//! A box that owns no share of an upstream's rate sends it nothing while it is cold.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// The span over which requests are counted: a second, and a tenth since they take different times to arrive.
+/// Counting window: one second, and a tenth because network latency varies between requests.
 const WINDOW_MS: u64 = 1_100;
-/// How a pool's upstreams are cold after their start.
+/// Cold-start behaviour of a pool's upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// Time for which one is cold after its start.
+    /// Time for which an upstream is cold after its start.
     pub lasts_ms: u64,
-    /// Requests a second that one bears meanwhile.
+    /// Requests per second that a cold upstream can handle.
     pub requests_per_s: f64,
 }
 
 impl ColdStart {
-    /// Whether the rate is one that can be kept to.
-    pub fn is_sane(&self) -> bool {
+    /// Whether the rate is finite and positive.
+    pub fn is_valid(&self) -> bool {
         self.requests_per_s.is_finite() && self.requests_per_s > 0.0
     }
 
-    /// Requests that a cold upstream is to get within a second, over all boxes: at least one, or it would get
-    /// nothing while it is cold.
+    /// Requests that a cold upstream may get per second from all boxes together: at least one, since it would otherwise
+    /// get none while it is cold.
     pub fn limit(&self) -> u32 {
         (self.requests_per_s as u32).max(1)
     }
 }
 
-/// When requests were sent to an upstream lately.
+/// Times of the requests sent to an upstream within the counting window.
 #[derive(Debug, Clone, Default)]
 pub struct RecentSends {
     at_ms: VecDeque<u64>,
@@ -40,18 +40,18 @@
 
 impl RecentSends {
     /// Counts a request that is sent now.
-    pub fn note(&mut self, now_ms: u64) {
-        self.forget(now_ms);
+    pub fn record(&mut self, now_ms: u64) {
+        self.evict_old(now_ms);
         self.at_ms.push_back(now_ms);
     }
 
-    /// Requests of the last second.
+    /// Number of requests within the counting window.
     pub fn count(&self, now_ms: u64) -> u32 {
         let recent = self.at_ms.iter().filter(|&&at| is_recent(at, now_ms));
         u32::try_from(recent.count()).unwrap_or(u32::MAX)
     }
 
-    fn forget(&mut self, now_ms: u64) {
+    fn evict_old(&mut self, now_ms: u64) {
         while self.at_ms.front().is_some_and(|&at| !is_recent(at, now_ms)) {
             self.at_ms.pop_front();
         }
--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -250,7 +250,7 @@
                 return true;
             }
             let is_kept = known.load.in_flight() > 0
-                || known.backoff.binds(now_ms)
+                || known.backoff.is_active(now_ms)
                 || known.limit.told(id, now_ms).is_some();
             has_kept |= is_kept;
             is_kept
@@ -280,7 +280,7 @@
             let own_part = (record.slots / boxes.max(1)).max(1);
             let known = self.known(&record.id);
             let limit = known.limit.room_by(until_ms).unwrap_or(u32::MAX);
-            known.backoff.room_by(until_ms).min(limit).min(own_part)
+            known.backoff.capacity_by(until_ms).min(limit).min(own_part)
         });
         places.fold(0, u32::saturating_add)
     }
--- a/crates/ivyweir-policy/src/gateway/upstreams/gate.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/gate.rs
@@ -34,7 +34,7 @@
     ) -> Result<(), Withheld> {
         let cold_limit = rules.cold_limit.filter(|_| is_cold);
         let known = self.known(id);
-        let for_ms = known.backoff.left_ms(now_ms);
+        let for_ms = known.backoff.remaining_ms(now_ms);
         if for_ms > 0 {
             return Err(Withheld::Backoff { for_ms });
         }
@@ -61,11 +61,11 @@
     ) -> Result<(), Withheld> {
         self.may_send(id, rules, now_ms)?;
         let known = self.known(id);
-        known.backoff.note_send();
+        known.backoff.record_send();
         known.limit.note_send(now_ms);
         if rules.cold_limit.is_some() {
             // Counted while it is warm too: it may turn cold within the second.
-            known.sends.note(now_ms);
+            known.sends.record(now_ms);
         }
         Ok(())
     }
--- a/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
@@ -37,7 +37,7 @@
             let own = self.own;
             let known = self.known(id);
             let own = mix(own, known.id_hash);
-            known.backoff.hear(for_ms.min(max_backoff_ms), own, now_ms);
+            known.backoff.start(for_ms.min(max_backoff_ms), own, now_ms);
         }
         Heard {
             limit: self.hear_limit(id, statement, now_ms),
@@ -51,7 +51,7 @@
         }
         let change = self.fleet.leave(id);
         if change == FleetChange::Leaving {
-            self.departures.note(id, now_ms);
+            self.departures.record(id, now_ms);
         }
         change
     }
@@ -92,7 +92,7 @@
 
     /// Upstreams that were heard to leave lately, other than by the registry, for other boxes to know.
     pub fn departures(&mut self, now_ms: u64) -> Vec<Name> {
-        self.departures.told(now_ms)
+        self.departures.recent(now_ms)
     }
 }
 
--- a/crates/ivyweir-policy/tests/gateway_cold.rs
+++ b/crates/ivyweir-policy/tests/gateway_cold.rs
@@ -98,7 +98,7 @@
         #[test]
         fn $name() {
             let start = ColdStart { lasts_ms: 0, requests_per_s: $rate };
-            assert_eq!(start.is_sane(), $sane);
+            assert_eq!(start.is_valid(), $sane);
         }
     )*};
 }
@@ -129,7 +129,7 @@
             }
             let part = sim.sharing(now_ms).own_part(UPSTREAM, START.limit());
             while own.count(now_ms) < part {
-                own.note(now_ms);
+                own.record(now_ms);
                 sent.push(now_ms);
             }
         }
--- a/crates/ivyweir-policy/tests/gateway_decisions.rs
+++ b/crates/ivyweir-policy/tests/gateway_decisions.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, Doubt, escalate};
+use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, EscalationInput, escalate};
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange, UpstreamRecord};
 use ivyweir_policy::gateway::place::{Ask, Candidate, UpstreamLoad, choose};
 use ivyweir_policy::gateway::proof::Proof;
@@ -269,13 +269,13 @@
     ($($name:ident: $confidence:expr, from $model:expr, wait $wait_ms:expr => $larger:expr;)*) => {$(
         #[test]
         fn $name() {
-            let doubt = Doubt {
+            let doubt = EscalationInput {
                 confidence: $confidence,
                 model: $model,
                 models: 3,
                 floor: CONFIDENCE_FLOOR,
                 wait_ms: $wait_ms,
-                left_ms: 4_000.0,
+                remaining_ms: 4_000.0,
             };
             assert_eq!(escalate(&doubt), $larger);
         }
@@ -296,13 +296,13 @@
 
 #[test]
 fn an_answer_that_is_late_already_is_not_asked_again() {
-    let doubt = Doubt {
+    let doubt = EscalationInput {
         confidence: Some(0),
         model: 0,
         models: 3,
         floor: CONFIDENCE_FLOOR,
         wait_ms: 0.0,
-        left_ms: 0.0,
+        remaining_ms: 0.0,
     };
     assert_eq!(escalate(&doubt), None);
 }
--- a/crates/ivyweir-policy/tests/gateway_statements.rs
+++ b/crates/ivyweir-policy/tests/gateway_statements.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::gateway::place::Ask;
 use ivyweir_policy::gateway::statement::{RetryAfter, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{Scope, SendRules, Unplaced, Upstreams, Withheld};
-use ivyweir_policy::gateway::wait::{Held, Queue, come_back_ms};
+use ivyweir_policy::gateway::wait::{BlockedRequest, Queue, spread_retry_after_ms};
 use ivyweir_policy::rank::mix;
 
 /// The most for which an upstream is left alone in these tests.
@@ -302,11 +302,11 @@
     let mut arrivals = Vec::new();
     for own in 0..boxes {
         let mut backoff = Backoff::default();
-        backoff.hear(FOR_MS, mix(own, 1), 0);
+        backoff.start(FOR_MS, mix(own, 1), 0);
         let mut left = EACH_HAS;
         for now_ms in 0..5_000 {
-            while left > 0 && backoff.left_ms(now_ms) == 0 {
-                backoff.note_send();
+            while left > 0 && backoff.remaining_ms(now_ms) == 0 {
+                backoff.record_send();
                 left -= 1;
                 arrivals.push(now_ms);
             }
@@ -346,7 +346,9 @@
     for for_ms in [1, 40, 400, 5_000] {
         let times = |rank: u8| -> Vec<u64> {
             let seeds = (0..500).map(|n| mix(n, 1));
-            seeds.map(|seed| come_back_ms(for_ms, rank, seed)).collect()
+            seeds
+                .map(|seed| spread_retry_after_ms(for_ms, rank, seed))
+                .collect()
         };
         for rank in 0..3 {
             let own = times(rank);
@@ -372,18 +374,18 @@
     ($($name:ident: for $for_ms:expr, aim $aim_ms:expr, deadline $deadline_ms:expr, ahead $ahead:expr => $waits:expr;)*) => {$(
         #[test]
         fn $name() {
-            let held = Held {
+            let held = BlockedRequest {
                 for_ms: $for_ms,
-                to_aim_ms: $aim_ms,
+                to_target_ms: $aim_ms,
                 to_deadline_ms: $deadline_ms,
-                read_ms: 50,
+                prefill_ms: 50,
                 ahead: $ahead,
             };
             // Upstreams take one request for each 100 ms behind the first.
             let places_within = |within_ms: u64| {
                 within_ms.checked_sub($for_ms).map_or(0, |ms| 1 + ms as u32 / 100)
             };
-            assert_eq!(held.waits(places_within), $waits);
+            assert_eq!(held.should_wait(places_within), $waits);
         }
     )*};
 }
@@ -401,14 +403,14 @@
 #[test]
 fn the_queue_is_by_rank_and_then_by_arrival() {
     let mut queue = Queue::default();
-    let late_first = queue.join(0, 30);
-    let early_second = queue.join(1, 10);
-    let late_second = queue.join(1, 20);
-    let same = queue.join(1, 20);
+    let late_first = queue.push(0, 30);
+    let early_second = queue.push(1, 10);
+    let late_second = queue.push(1, 20);
+    let same = queue.push(1, 20);
     let ahead = [late_first, early_second, late_second, same].map(|ticket| queue.ahead_of(ticket));
     assert_eq!(ahead, [0, 1, 2, 3]);
     assert_eq!(queue.ahead_of_new(1, 20), 4);
     assert_eq!(queue.ahead_of_new(0, 40), 1);
-    queue.leave(late_first);
+    queue.remove(late_first);
     assert_eq!(queue.ahead_of(same), 2);
 }
