--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -9,7 +9,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::quarantine::{RunEnd, RunKey};
-use ivyweir_policy::gateway::statement::{NamedLimit, RetryAfter, Statement};
+use ivyweir_policy::gateway::statement::{DeclaredLimit, RetryAfter, Statement};
 use ivyweir_policy::gateway::work::Estimate;
 use serde_json::json;
 use tokio::time::timeout;
@@ -83,14 +83,14 @@
     /// Takes in that the upstream has read the request: its answer has begun.
     fn read(&mut self) {
         self.is_read = true;
-        let done_ms = self.estimate.read_ms;
+        let done_ms = self.estimate.prefill_ms;
         let id = &self.upstream.id;
         self.gateway.with_load(id, |load, _| load.progress(done_ms));
     }
 
     fn work_left_ms(&self) -> f64 {
         if self.is_read {
-            self.estimate.write_ms
+            self.estimate.decode_ms
         } else {
             self.estimate.total_ms()
         }
@@ -305,13 +305,13 @@
     let upstream: &Name = &lease.upstream.id.clone();
     let is_own = !marks.not_run && belongs(job, &marks, status);
     let statement = Statement {
-        answered_after_ms: is_own.then_some(head_after_ms),
+        response_time_ms: is_own.then_some(head_after_ms),
         ..marks.statement
     };
     let detail = json!({
         "upstream": upstream, "status": status, "leaving": statement.is_leaving,
         "retry_after": statement.retry_after.map(|s| format!("{s:?}")),
-        "limit_per_s": statement.limit.map(NamedLimit::per_s),
+        "limit_per_s": statement.limit.map(DeclaredLimit::requests_per_s),
         "load": statement.load.map(|l| [l.running, l.waiting]),
     });
     if marks.is_other_incarnation {
@@ -399,9 +399,9 @@
         None => {}
     }
     match statement.limit {
-        Some(NamedLimit::Per1000S(_)) => count("limit"),
-        Some(NamedLimit::Unreadable) => count("limit_unreadable"),
-        Some(NamedLimit::Ended) | None => {}
+        Some(DeclaredLimit::Per1000S(_)) => count("limit"),
+        Some(DeclaredLimit::Unreadable) => count("limit_unreadable"),
+        Some(DeclaredLimit::Ended) | None => {}
     }
 }
 
--- a/crates/ivyweir-gateway/src/gather.rs
+++ b/crates/ivyweir-gateway/src/gather.rs
@@ -5,7 +5,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::{Response, header};
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::statement::NamedLimit;
+use ivyweir_policy::gateway::statement::DeclaredLimit;
 use serde_json::json;
 use tokio::time::timeout;
 
@@ -69,7 +69,7 @@
     head.headers.remove(header::CONTENT_LENGTH);
     let detail = json!({
         "upstream": upstream, "status": head.status.as_u16(), "bytes": bytes.len(),
-        "leaving": marks.statement.is_leaving, "limit_per_s": marks.statement.limit.map(NamedLimit::per_s),
+        "leaving": marks.statement.is_leaving, "limit_per_s": marks.statement.limit.map(DeclaredLimit::requests_per_s),
     });
     if head.status.is_server_error() {
         trace.fail("answered", detail);
--- a/crates/ivyweir-gateway/src/headers.rs
+++ b/crates/ivyweir-gateway/src/headers.rs
@@ -5,7 +5,9 @@
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName, HeaderValue};
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::statement::{NamedLimit, ReportedLoad, RetryAfter, Source, Statement};
+use ivyweir_policy::gateway::statement::{
+    DeclaredLimit, ReportedLoad, RetryAfter, Source, Statement,
+};
 use ivyweir_policy::rank::hash64;
 
 use crate::dialect::{AnswerMarks, Dialect, Envelope, Forward, PromptPart};
@@ -218,7 +220,7 @@
 }
 
 /// The lowest of the limits that an answer names.
-fn named_limit(headers: &HeaderMap, name: &HeaderName) -> Option<NamedLimit> {
+fn named_limit(headers: &HeaderMap, name: &HeaderName) -> Option<DeclaredLimit> {
     let named = headers.get_all(name).iter();
     let limits: Vec<Option<u32>> = named
         .map(|value| value.to_str().ok().and_then(per_s_as_per_1000_s))
@@ -227,7 +229,7 @@
         return None;
     }
     let lowest = limits.into_iter().flatten().min();
-    Some(lowest.map_or(NamedLimit::Unreadable, NamedLimit::Per1000S))
+    Some(lowest.map_or(DeclaredLimit::Unreadable, DeclaredLimit::Per1000S))
 }
 
 /// A rate a second, fractions included, as a whole one in a thousand seconds; rounded down, so that it is never more
--- a/crates/ivyweir-gateway/src/job.rs
+++ b/crates/ivyweir-gateway/src/job.rs
@@ -110,8 +110,8 @@
         let (own, shared) = self.envelope.parts.split_last()?;
         Some(Tokens {
             shared: shared.iter().map(|part| part.tokens).sum(),
-            own: own.tokens,
-            out: self.envelope.out_tokens.unwrap_or(0),
+            unique: own.tokens,
+            output: self.envelope.out_tokens.unwrap_or(0),
         })
     }
 
--- a/crates/ivyweir-gateway/src/judge.rs
+++ b/crates/ivyweir-gateway/src/judge.rs
@@ -37,7 +37,7 @@
     };
     if gateway.settings.policy.learn_pace {
         gateway.with_pace(&job.pool, |pace| {
-            pace.learn(model, tokens.prompt(), reply.head_after_ms);
+            pace.record(model, tokens.prompt(), reply.head_after_ms);
         });
     }
 }
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -6,7 +6,7 @@
 use hyper::{Request, Response, header};
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::cascade::{self, EscalationInput};
-use ivyweir_policy::gateway::statement::NamedLimit;
+use ivyweir_policy::gateway::statement::DeclaredLimit;
 use serde_json::json;
 
 use crate::admit::admit;
@@ -181,7 +181,7 @@
     let detail = json!({
         "upstream": reply.lease.upstream.id, "model": model,
         "confidence": reply.marks.confidence, "head_after_ms": reply.head_after_ms,
-        "leaving": reply.marks.statement.is_leaving, "limit_per_s": reply.marks.statement.limit.map(NamedLimit::per_s),
+        "leaving": reply.marks.statement.is_leaving, "limit_per_s": reply.marks.statement.limit.map(DeclaredLimit::requests_per_s),
     });
     trace.step("relaying", detail);
     stream::start(gateway, job, reply, model, tries, trace, active)
@@ -231,7 +231,7 @@
         return None;
     }
     let models = job.route.models.len();
-    let read_ms = gateway.estimate(job, models.saturating_sub(1)).read_ms;
+    let read_ms = gateway.estimate(job, models.saturating_sub(1)).prefill_ms;
     let late_at_ms = job.arrived_ms + job.route.latency_aim_ms;
     let larger = cascade::escalate(&EscalationInput {
         confidence: reply.marks.confidence,
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -20,7 +20,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange};
 use ivyweir_policy::gateway::hall::BoxRecord;
-use ivyweir_policy::gateway::pace::ReadingPace;
+use ivyweir_policy::gateway::pace::PrefillPace;
 use ivyweir_policy::gateway::place::UpstreamLoad;
 use ivyweir_policy::gateway::proof::Proof;
 use ivyweir_policy::gateway::repeat::{FleetCounts, RepeatBudget};
@@ -92,7 +92,7 @@
     budgets: Mutex<HashMap<Name, RepeatBudget>>,
     /// What all boxes counted of repeats, by pool.
     fleet_repeats: Mutex<HashMap<Name, FleetCounts>>,
-    paces: Mutex<HashMap<Name, ReadingPace>>,
+    paces: Mutex<HashMap<Name, PrefillPace>>,
     quarantine: Mutex<Quarantine>,
     /// Requests that wait for upstreams that want nothing for now.
     queues: Mutex<Queues>,
--- a/crates/ivyweir-gateway/src/state/sending.rs
+++ b/crates/ivyweir-gateway/src/state/sending.rs
@@ -3,7 +3,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::owners::{self, Sharing};
-use ivyweir_policy::gateway::pace::ReadingPace;
+use ivyweir_policy::gateway::pace::PrefillPace;
 use ivyweir_policy::gateway::place::Ask;
 use ivyweir_policy::gateway::quarantine::Fingerprint;
 use ivyweir_policy::gateway::upstreams::{Choice, Scope, SendRules, Unplaced, Withheld};
@@ -41,7 +41,7 @@
     }
 
     /// Works on what is known of a pool's pace.
-    pub fn with_pace<T>(&self, pool: &Name, work: impl FnOnce(&mut ReadingPace) -> T) -> T {
+    pub fn with_pace<T>(&self, pool: &Name, work: impl FnOnce(&mut PrefillPace) -> T) -> T {
         work(lock(&self.paces).entry(pool.clone()).or_default())
     }
 
--- a/crates/ivyweir-gateway/src/state/statements.rs
+++ b/crates/ivyweir-gateway/src/state/statements.rs
@@ -3,7 +3,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::FleetChange;
 use ivyweir_policy::gateway::limit::{LimitChange, ToldLimit};
-use ivyweir_policy::gateway::statement::{NamedLimit, Source, Statement};
+use ivyweir_policy::gateway::statement::{DeclaredLimit, Source, Statement};
 use serde_json::json;
 
 use super::{Gateway, lock};
@@ -33,7 +33,7 @@
             // A limit that moves is told by each box that the upstream itself told: as many lines as answers.
             LimitChange::Moved(_) if source == Source::Peer => return,
             LimitChange::Began(per_1000_s) | LimitChange::Moved(per_1000_s) => {
-                NamedLimit::Per1000S(per_1000_s).per_s()
+                DeclaredLimit::Per1000S(per_1000_s).requests_per_s()
             }
             LimitChange::Ended => None,
         };
--- a/crates/ivyweir-gateway/src/tries.rs
+++ b/crates/ivyweir-gateway/src/tries.rs
@@ -72,7 +72,7 @@
                 "hall": choice.upstream.hall, "mean_work_ms": choice.mean_work_ms,
                 "candidates": choice.candidates, "model": tries.model,
                 "load_ms": choice.load_ms, "read_ms": choice.read_ms, "kept_part_ms": choice.saved_ms,
-                "pace_answers": gateway.with_pace(&job.pool, |pace| pace.answers(tries.model)),
+                "pace_answers": gateway.with_pace(&job.pool, |pace| pace.sample_count(tries.model)),
             }),
         );
         let sending = Sending {
@@ -108,7 +108,7 @@
     for_ms: u64,
     waiter: &Option<Waiter>,
 ) -> bool {
-    let read_ms = gateway.estimate(job, tries.model).read_ms;
+    let read_ms = gateway.estimate(job, tries.model).prefill_ms;
     let ahead = waiter.as_ref().map(Waiter::ahead);
     !tries.may_have_run && gateway.is_worth_waiting(job, for_ms, read_ms, ahead)
 }
--- a/crates/ivyweir-policy/src/gateway/limit.rs
+++ b/crates/ivyweir-policy/src/gateway/limit.rs
@@ -13,7 +13,7 @@
 
 use crate::Name;
 use crate::gateway::owners::Sharing;
-use crate::gateway::statement::{NamedLimit, Source, Statement};
+use crate::gateway::statement::{DeclaredLimit, Source, Statement};
 
 /// The lowest limit that is kept to. An upstream that got nothing could not say that it takes more again.
 const LEAST_PER_1000_S: u32 = 250;
@@ -49,9 +49,9 @@
 impl ToldLimit {
     /// What another box's word says of the upstream.
     pub fn statement(&self) -> Statement {
-        let limit = self.per_1000_s.map(NamedLimit::Per1000S);
+        let limit = self.per_1000_s.map(DeclaredLimit::Per1000S);
         Statement {
-            limit: Some(limit.unwrap_or(NamedLimit::Ended)),
+            limit: Some(limit.unwrap_or(DeclaredLimit::Ended)),
             age_ms: self.age_ms,
             ..Statement::new(Source::Peer)
         }
--- a/crates/ivyweir-policy/src/gateway/statement.rs
+++ b/crates/ivyweir-policy/src/gateway/statement.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself, wherever it says it.
+//! What an upstream reports about itself, independent of the channel.
 //!
 //! ```
 //! use ivyweir_policy::gateway::statement::{Source, Statement};
@@ -7,21 +7,21 @@
 //! assert_eq!(statement.source.name(), "answer");
 //! ```
 
-/// Where something was heard of an upstream.
+/// Channel through which a statement was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// Its record, in the store's or another box's list.
+    /// The upstream's record, in the store's or another box's list.
     Record,
-    /// The head of an answer of its own, whatever the status.
+    /// The response head of an answer of the upstream itself, whatever the status.
     Answer,
-    /// An answer of another incarnation at its address.
+    /// An answer of another incarnation at the upstream's address.
     OtherIncarnation,
-    /// Another box, which heard it from the upstream or from a third one.
+    /// Another box, which received it from the upstream or from a third box.
     Peer,
 }
 
 impl Source {
-    /// Its name in logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Record => "record",
@@ -32,38 +32,38 @@
     }
 }
 
-/// Load told with an answer.
+/// Load reported with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
 }
 
-/// How long an upstream that refused a request wants nothing more from this box.
+/// How long an upstream that refused a request wants no further ones from this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// For this time from the answer on.
+    /// For this time, from the answer on.
     ForMs(u64),
-    /// It says a time that cannot be read.
+    /// The time could not be parsed.
     Unreadable,
 }
 
-/// How many requests an upstream takes from all boxes together.
+/// How many requests an upstream accepts from all boxes together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NamedLimit {
-    /// So many within a thousand seconds: upstreams name fractions of a request a second.
+pub enum DeclaredLimit {
+    /// Requests per 1,000 seconds, since upstreams declare fractions of a request per second.
     Per1000S(u32),
-    /// It names a limit that cannot be read.
+    /// The limit could not be parsed.
     Unreadable,
-    /// It named one before, and does so no more.
+    /// A limit declared before no longer applies.
     Ended,
 }
 
-impl NamedLimit {
-    /// Requests a second, where they can be read.
-    pub fn per_s(self) -> Option<f64> {
+impl DeclaredLimit {
+    /// Requests per second, if the limit could be parsed.
+    pub fn requests_per_s(self) -> Option<f64> {
         match self {
             Self::Per1000S(per_1000_s) => Some(f64::from(per_1000_s) / 1_000.0),
             Self::Unreadable | Self::Ended => None,
@@ -71,28 +71,28 @@
     }
 }
 
-/// What an upstream says of itself at one place; all of it is of the incarnation that said it.
+/// One report of an upstream about itself; all of it concerns the incarnation that made it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Statement {
-    /// Where it was heard.
+    /// Channel through which it was received.
     pub source: Source,
-    /// Whether it says that it leaves.
+    /// Whether the upstream announces that it leaves.
     pub is_leaving: bool,
     /// Its load.
     pub load: Option<ReportedLoad>,
-    /// Whether it wants nothing more for a while.
+    /// Whether it wants no requests for a while.
     pub retry_after: Option<RetryAfter>,
-    /// Whether it limits what it takes.
-    pub limit: Option<NamedLimit>,
-    /// Time since the upstream said it, by the word of the box that told it.
+    /// Whether it limits the requests that it accepts.
+    pub limit: Option<DeclaredLimit>,
+    /// Time since the upstream made the report, according to the box that forwarded it.
     pub age_ms: u64,
-    /// Time from the request to the answer that says it; none where the answer may not be the request's own, or says
-    /// that it did not run. Only such an answer tells by its silence.
-    pub answered_after_ms: Option<u64>,
+    /// Time from the request to the answer with this report. None if the answer may not be the request's own, or says
+    /// that the request did not run: only for such an answer does the absence of a limit mean that there is none.
+    pub response_time_ms: Option<u64>,
 }
 
 impl Statement {
-    /// A statement that says nothing yet.
+    /// Creates an empty statement.
     pub fn new(source: Source) -> Self {
         Self {
             source,
@@ -101,7 +101,7 @@
             retry_after: None,
             limit: None,
             age_ms: 0,
-            answered_after_ms: None,
+            response_time_ms: None,
         }
     }
 }
--- a/crates/ivyweir-policy/src/gateway/upstreams/choice.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/choice.rs
@@ -51,7 +51,7 @@
             mean_work_ms: place::mean_work_ms(&candidates[homes.unwrap_or(0)..], now_ms),
             candidates: candidates.len(),
             load_ms: candidates[chosen].load.load_ms(now_ms),
-            read_ms: ask.engine.map_or(0.0, |estimate| estimate.read_ms),
+            read_ms: ask.engine.map_or(0.0, |estimate| estimate.prefill_ms),
             saved_ms: ask.engine.map_or(0.0, |estimate| estimate.saved_ms),
         })
     }
--- a/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
@@ -4,7 +4,7 @@
 use crate::Name;
 use crate::gateway::fleet::FleetChange;
 use crate::gateway::limit::{LimitChange, ToldLimit};
-use crate::gateway::statement::{NamedLimit, RetryAfter, Statement};
+use crate::gateway::statement::{DeclaredLimit, RetryAfter, Statement};
 use crate::rank::mix;
 
 /// Limits that are told at once; the latest go first, and an upstream that gets requests names its own again and again.
@@ -59,21 +59,21 @@
     fn hear_limit(&mut self, id: &Name, statement: &Statement, now_ms: u64) -> Option<LimitChange> {
         let said_at_ms = now_ms.saturating_sub(statement.age_ms);
         match statement.limit {
-            Some(NamedLimit::Per1000S(per_1000_s)) => {
+            Some(DeclaredLimit::Per1000S(per_1000_s)) => {
                 self.limited.insert(id.clone());
                 let own = self.own;
                 let known = self.known(id);
                 let first = unit(mix(own, known.id_hash));
                 known.limit.named(per_1000_s, first, said_at_ms)
             }
-            Some(NamedLimit::Ended) => {
+            Some(DeclaredLimit::Ended) => {
                 self.limited.insert(id.clone());
                 self.known(id).limit.ended(said_at_ms)
             }
             // One that cannot be read neither sets nor ends a limit.
-            Some(NamedLimit::Unreadable) => None,
+            Some(DeclaredLimit::Unreadable) => None,
             None => {
-                let asked_at_ms = now_ms.saturating_sub(statement.answered_after_ms?);
+                let asked_at_ms = now_ms.saturating_sub(statement.response_time_ms?);
                 let known = self.loads.get_mut(id)?;
                 known.limit.unnamed(asked_at_ms, now_ms)
             }
--- a/crates/ivyweir-policy/src/gateway/verdict.rs
+++ b/crates/ivyweir-policy/src/gateway/verdict.rs
@@ -10,7 +10,7 @@
 
 use crate::Name;
 use crate::gateway::rollout::Side;
-use crate::gateway::slowness::{OldAnswers, Timed};
+use crate::gateway::slowness::{OldVersionPace, TimedAnswer};
 
 pub use crate::gateway::slowness::Span;
 
@@ -171,7 +171,7 @@
 pub struct Findings {
     own: BTreeMap<Group, Counts>,
     others: Tally,
-    old: OldAnswers,
+    old: OldVersionPace,
 }
 
 impl Findings {
@@ -239,13 +239,13 @@
 }
 
 /// An answer as it is timed.
-fn timed(side: Side, evidence: &Evidence, pace_ms: f64) -> Timed {
-    Timed {
+fn timed(side: Side, evidence: &Evidence, pace_ms: f64) -> TimedAnswer {
+    TimedAnswer {
         pace_ms,
         span: evidence.span,
         lane: evidence.lane,
         running: evidence.running,
-        is_old: side == Side::Old,
+        is_old_version: side == Side::Old,
     }
 }
 
--- a/crates/ivyweir-policy/tests/gateway_decisions.rs
+++ b/crates/ivyweir-policy/tests/gateway_decisions.rs
@@ -183,8 +183,8 @@
 
 const LONG: Tokens = Tokens {
     shared: 5_000,
-    own: 6_000,
-    out: 300,
+    unique: 6_000,
+    output: 300,
 };
 
 fn ask(prefix: Option<u64>, tokens: Option<Tokens>, seed: u64) -> Ask<'static> {
@@ -377,8 +377,8 @@
 fn long_prompts_and_large_models_rank_behind() {
     let short = Tokens {
         shared: 100,
-        own: 600,
-        out: 100,
+        unique: 600,
+        output: 100,
     };
     let rank = |tokens, model| estimate(Some(tokens), MS_PER_TOKEN[model]).rank();
     assert!(rank(short, 0) < rank(LONG, 0));
--- a/crates/ivyweir-policy/tests/gateway_large_pools.rs
+++ b/crates/ivyweir-policy/tests/gateway_large_pools.rs
@@ -47,8 +47,8 @@
     Ask {
         prefix: prefix.map(|prefix| mix(prefix, 7)),
         engine: Some(Estimate {
-            read_ms: 50.0,
-            write_ms: 20.0,
+            prefill_ms: 50.0,
+            decode_ms: 20.0,
             saved_ms: 40.0,
         }),
         hall: "a",
--- a/crates/ivyweir-policy/tests/gateway_limit.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit.rs
@@ -7,7 +7,7 @@
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::limit::LimitChange;
 use ivyweir_policy::gateway::owners::{Owners, Sharing};
-use ivyweir_policy::gateway::statement::{NamedLimit, Source, Statement};
+use ivyweir_policy::gateway::statement::{DeclaredLimit, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{SendRules, Upstreams, Withheld};
 
 const MAX_BACKOFF_MS: u64 = 60_000;
@@ -59,8 +59,8 @@
     ToldEnd(u64, u64),
 }
 
-fn per_1000_s(per_s: f64) -> NamedLimit {
-    NamedLimit::Per1000S((per_s * 1_000.0) as u32)
+fn per_1000_s(per_s: f64) -> DeclaredLimit {
+    DeclaredLimit::Per1000S((per_s * 1_000.0) as u32)
 }
 
 fn hear(upstreams: &mut Upstreams, heard: Heard) -> Option<LimitChange> {
@@ -74,14 +74,14 @@
         Heard::NamesNone(after_ms, now_ms) => {
             let answered_after_ms = Some(after_ms);
             let statement = Statement {
-                answered_after_ms,
+                response_time_ms: answered_after_ms,
                 ..answer
             };
             (statement, now_ms)
         }
         Heard::Doubtful(now_ms) => (answer, now_ms),
         Heard::Garbage(now_ms) => {
-            let limit = Some(NamedLimit::Unreadable);
+            let limit = Some(DeclaredLimit::Unreadable);
             (Statement { limit, ..answer }, now_ms)
         }
         Heard::Told(per_s, age_ms, now_ms) => {
@@ -94,7 +94,7 @@
             (statement, now_ms)
         }
         Heard::ToldEnd(age_ms, now_ms) => {
-            let limit = Some(NamedLimit::Ended);
+            let limit = Some(DeclaredLimit::Ended);
             let statement = Statement {
                 limit,
                 age_ms,
@@ -237,7 +237,7 @@
 #[test]
 fn a_thousand_limits_are_told_a_few_at_a_time_and_the_latest_first() {
     let mut upstreams = Upstreams::new(7);
-    let limit = Some(NamedLimit::Per1000S(1_000));
+    let limit = Some(DeclaredLimit::Per1000S(1_000));
     for n in 0..1_000 {
         let statement = Statement {
             limit,
--- a/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
@@ -6,7 +6,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::limit::ToldLimit;
-use ivyweir_policy::gateway::statement::{NamedLimit, Source, Statement};
+use ivyweir_policy::gateway::statement::{DeclaredLimit, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{SendRules, Upstreams};
 use ivyweir_standins::edge::{Arrival, LimitPromise};
 use proptest::prelude::*;
@@ -199,10 +199,10 @@
                 continue;
             }
             let names_per_s = naming.at(now_ms, arrivals.len());
-            let limit = names_per_s.map(|per_s| NamedLimit::Per1000S((per_s * 1_000.0) as u32));
+            let limit = names_per_s.map(|per_s| DeclaredLimit::Per1000S((per_s * 1_000.0) as u32));
             let statement = Statement {
                 limit,
-                answered_after_ms: Some(0),
+                response_time_ms: Some(0),
                 ..Statement::new(Source::Answer)
             };
             if naming.is_heard(now_ms) {
--- a/crates/ivyweir-policy/tests/gateway_pace.rs
+++ b/crates/ivyweir-policy/tests/gateway_pace.rs
@@ -1,12 +1,12 @@
 //! What engines' paces are learned to be.
 
-use ivyweir_policy::gateway::pace::ReadingPace;
+use ivyweir_policy::gateway::pace::PrefillPace;
 
 /// Time by token of a pool's three models after answers of `model` to prompts of 2,000 tokens.
 fn after(model: usize, took_ms: &[u64]) -> [f64; 3] {
-    let mut pace = ReadingPace::default();
+    let mut pace = PrefillPace::default();
     for ms in took_ms {
-        pace.learn(model, 2_000, *ms);
+        pace.record(model, 2_000, *ms);
     }
     [0, 1, 2].map(|model| pace.ms_per_token(model, 3))
 }
@@ -35,32 +35,32 @@
 
 #[test]
 fn each_model_is_believed_by_its_own_answers() {
-    let mut pace = ReadingPace::default();
+    let mut pace = PrefillPace::default();
     for _ in 0..20 {
-        pace.learn(0, 4_000, 60);
-        pace.learn(2, 4_000, 400);
+        pace.record(0, 4_000, 60);
+        pace.record(2, 4_000, 400);
     }
     assert!((pace.ms_per_token(0, 3) - 0.015).abs() < 1e-9);
     assert!((pace.ms_per_token(2, 3) - 0.1).abs() < 1e-9);
-    assert_eq!([0, 1, 2].map(|model| pace.answers(model)), [20, 0, 20]);
+    assert_eq!([0, 1, 2].map(|model| pace.sample_count(model)), [20, 0, 20]);
 }
 
 #[test]
 fn a_pool_that_grew_slower_is_followed() {
-    let mut pace = ReadingPace::default();
-    (0..200).for_each(|_| pace.learn(0, 1_000, 10));
-    (0..64).for_each(|_| pace.learn(0, 1_000, 30));
+    let mut pace = PrefillPace::default();
+    (0..200).for_each(|_| pace.record(0, 1_000, 10));
+    (0..64).for_each(|_| pace.record(0, 1_000, 30));
     assert!((pace.ms_per_token(0, 3) - 0.03).abs() < 1e-9);
 }
 
 #[test]
 fn short_prompts_tell_nothing() {
-    let mut pace = ReadingPace::default();
-    (0..50).for_each(|_| pace.learn(0, 100, 300));
-    assert_eq!(pace.answers(0), 0);
+    let mut pace = PrefillPace::default();
+    (0..50).for_each(|_| pace.record(0, 100, 300));
+    assert_eq!(pace.sample_count(0), 0);
 }
 
 #[test]
 fn a_pool_without_models_has_a_pace() {
-    assert!(ReadingPace::default().ms_per_token(0, 0) > 0.0);
+    assert!(PrefillPace::default().ms_per_token(0, 0) > 0.0);
 }
