--- a/crates/ivyweir-gateway/src/adopt.rs
+++ b/crates/ivyweir-gateway/src/adopt.rs
@@ -48,7 +48,7 @@
     if topic == Topic::Upstreams {
         let records: Vec<UpstreamRecord> = items.into_iter().filter_map(Item::upstream).collect();
         gateway.change_upstream(Source::Record, |fleet, now_ms| match kind {
-            ListingKind::Complete => fleet.replace(records, now_ms),
+            ListingKind::Complete => fleet.replace_all(records, now_ms),
             ListingKind::Incomplete => fleet.merge(records, now_ms),
         });
         return;
@@ -147,7 +147,7 @@
 fn remove(gateway: &Gateway, topic: Topic, name: &Name) {
     match topic {
         Topic::Upstreams => gateway.change_upstream(Source::Record, |fleet, now_ms| {
-            let change = fleet.lapse(name, now_ms);
+            let change = fleet.mark_lapsed(name, now_ms);
             vec![(name.clone(), change)]
         }),
         Topic::Rollouts => {
--- a/crates/ivyweir-gateway/src/state/statements.rs
+++ b/crates/ivyweir-gateway/src/state/statements.rs
@@ -88,7 +88,7 @@
     /// Takes in that another incarnation answers at an upstream's address: this one has left.
     pub fn upstream_left(&self, id: &Name) {
         self.change_upstream(Source::OtherIncarnation, |fleet, _| {
-            vec![(id.clone(), fleet.leave(id))]
+            vec![(id.clone(), fleet.mark_left(id))]
         });
     }
 }
--- a/crates/ivyweir-policy/src/gateway/fleet.rs
+++ b/crates/ivyweir-policy/src/gateway/fleet.rs
@@ -1,4 +1,4 @@
-//! The upstreams a box knows, from the registry and from what it saw itself.
+//! Membership of the upstreams known to a box, from the registry and from its own observations.
 
 mod index;
 
@@ -12,139 +12,144 @@
 use crate::rank::hash64;
 use index::PoolIndex;
 
-/// Ids of upstreams that left which are remembered; an id is never used again.
-const LEFT_KEPT: usize = 4_096;
+/// Number of ids of removed upstreams that are kept; an id is never reused.
+const MAX_RECENT_IDS: usize = 4_096;
 
-/// What the registry says of an upstream.
+/// The registry's record of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamRecord {
-    /// Id of this incarnation. All that a box keeps of an upstream is kept under it, so nothing of an incarnation
-    /// is taken for another's.
+    /// Id of this incarnation. All state of an upstream is stored under it, so that states of different incarnations
+    /// are never mixed.
     pub id: Name,
     /// Its pool.
     pub pool: Name,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
     /// Its hall.
     pub hall: Name,
-    /// Version of what it runs.
+    /// Version of the software that it runs.
     pub version: Name,
-    /// Requests it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it has announced that it leaves.
     pub is_leaving: bool,
-    /// Time for which it is still cold.
+    /// Remaining time for which it is cold.
     #[serde(default)]
     pub cold_remaining_ms: u64,
-    /// Whether the platform may take it away at short notice.
+    /// Whether the platform may reclaim it at short notice.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub is_spot: bool,
-    /// What the registry and the upstream itself call it, where that is not its id: it may start again under
-    /// that name.
+    /// Its name in the registry and in its own messages, if that differs from its id: it keeps the name after a
+    /// restart.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub registered_as: Option<Name>,
 }
 
 impl UpstreamRecord {
-    /// What the registry and the upstream itself call it.
+    /// Its name in the registry and in its own messages.
     pub fn name(&self) -> &Name {
         self.registered_as.as_ref().unwrap_or(&self.id)
     }
 
-    /// The id of the incarnation of an upstream that started at this time: another start is another upstream, which
-    /// knows nothing of before. The order of starts is the registry's, since a time of day may step.
+    /// The id of the incarnation that started at this time. A restarted upstream counts as another upstream, since it
+    /// has lost its state. The order of incarnations comes from the registry, since the wall clock may step.
     pub fn incarnation_id(name: &str, started_at_ms: u64) -> Name {
         format!("{name}@{started_at_ms}").into()
     }
 }
 
-/// How far an upstream may be used.
+/// Membership state of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// It takes work.
+pub enum MemberState {
+    /// It accepts requests.
     Ready,
-    /// Its record is gone without a notice; it may come back.
+    /// Its record disappeared without notice; it may return.
     Lapsed {
-        /// When that was seen.
+        /// When the disappearance was observed.
         since_ms: u64,
     },
 }
 
-/// An upstream and its standing.
+/// An upstream with its membership state.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What the registry last said.
+    /// The latest record from the registry.
     pub record: Arc<UpstreamRecord>,
-    /// How far it may be used.
-    pub standing: Standing,
+    /// Its membership state.
+    pub state: MemberState,
     /// Hash of its id.
     pub id_hash: u64,
-    /// Until when it is cold by its record, counted from when that was heard.
+    /// End of its cold phase according to its record, counted from the record's receipt.
     cold_until_ms: u64,
-    /// Until when it is taken to be cold whatever its record says.
+    /// Time until which it is assumed to be cold regardless of its record.
     assumed_cold_until_ms: u64,
 }
 
 impl Member {
     fn is_ready(&self) -> bool {
-        self.standing == Standing::Ready
+        self.state == MemberState::Ready
     }
 
-    fn place(&self) -> Place {
+    fn has_start_time(&self) -> bool {
+        self.record.registered_as.is_some()
+    }
+
+    fn pool_addr(&self) -> PoolAddr {
         (self.record.pool.clone(), self.record.addr)
     }
 
-    /// Time for which it is still cold; 0 where it is not.
+    /// Remaining time for which it is cold; 0 if it is not.
     pub fn cold_for_ms(&self, now_ms: u64) -> u64 {
         let until_ms = self.cold_until_ms.max(self.assumed_cold_until_ms);
         until_ms.saturating_sub(now_ms)
     }
 }
 
-/// What a record changed.
+/// Change of membership caused by a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetChange {
     /// An upstream was added.
     Joined,
-    /// A lapsed one is back.
+    /// A lapsed upstream returned.
     Returned,
-    /// It announced that it leaves.
+    /// An upstream announced that it leaves.
     Leaving,
-    /// Its record is gone.
+    /// An upstream's record disappeared.
     Lapsed,
-    /// Nothing that decisions depend on.
+    /// No change that affects decisions.
     Nothing,
 }
 
-/// A pool and an address: another service may have the address of an upstream that is gone.
-type Place = (Name, SocketAddr);
+/// A pool and an address: another service may reuse the address of an upstream that left.
+type PoolAddr = (Name, SocketAddr);
 
 /// All upstreams that may be used, by id.
 #[derive(Debug, Default)]
 pub struct Fleet {
     members: HashMap<Name, Member>,
-    /// The member of each name in the registry.
-    ids: HashMap<Name, Name>,
-    /// The member that is at each address: the first of its pool that named it, until its record is gone. Another
-    /// record that names it too is another writer's, or the next upstream's there. If the first one is not who is
-    /// there, the upstream says so when it is first asked, and the next one takes its place.
-    at: HashMap<Place, Name>,
-    /// All members that name an address.
-    naming: HashMap<Place, Vec<Name>>,
-    /// Incarnations that others replaced under their names, until they are taken.
+    /// Id of the latest incarnation under each registry name.
+    ids_by_name: HashMap<Name, Name>,
+    /// The member that holds each address: the first one of its pool with a record for the address, until that record
+    /// disappears. Another record with the same address comes from another writer or from the next upstream there. If
+    /// the holder is not the upstream at the address, the upstream's first answer reveals it, and the next claimant
+    /// becomes the holder.
+    addr_holders: HashMap<PoolAddr, Name>,
+    /// All members whose records contain an address.
+    addr_claimants: HashMap<PoolAddr, Vec<Name>>,
+    /// Incarnations replaced by a later one of the same name, until `take_replaced` returns them.
     replaced: Vec<Arc<UpstreamRecord>>,
-    left: RecentIds,
+    left_ids: RecentIds,
     /// Upstreams that were removed some time after they lapsed.
-    forgotten: RecentIds,
+    expired_ids: RecentIds,
     replaced_ids: RecentIds,
     pools: HashMap<Name, PoolIndex>,
-    /// Members whose records are gone.
-    lapsed: HashSet<Name>,
-    /// Counts how often members changed.
+    /// Members whose records disappeared.
+    lapsed_ids: HashSet<Name>,
+    /// Number of membership changes.
     revision: u64,
 }
 
-/// Ids, the oldest of which are forgotten.
+/// A bounded set of ids; the oldest are evicted.
 #[derive(Debug, Default)]
 struct RecentIds {
     ids: HashSet<Name>,
@@ -158,7 +163,7 @@
             return false;
         }
         self.order.push_back(id.clone());
-        if self.order.len() > LEFT_KEPT
+        if self.order.len() > MAX_RECENT_IDS
             && let Some(oldest) = self.order.pop_front()
         {
             self.ids.remove(&oldest);
@@ -172,84 +177,87 @@
 }
 
 impl Fleet {
-    /// Takes in a record.
+    /// Adds or updates an upstream.
     pub fn put(&mut self, record: UpstreamRecord, now_ms: u64) -> FleetChange {
-        if self.left.contains(&record.id) {
+        if self.left_ids.contains(&record.id) {
             return FleetChange::Nothing;
         }
-        self.replace_earlier(&record);
+        self.remove_previous_incarnation(&record);
         if record.is_leaving {
-            return self.leave(&record.id);
+            return self.mark_left(&record.id);
         }
         let known = self.members.get(&record.id);
-        let before = known.map(|m| m.standing);
+        let before = known.map(|m| m.state);
         let id_hash = known.map_or_else(|| hash64(&[record.id.as_bytes()]), |m| m.id_hash);
-        let tells_start = record.registered_as.is_some();
+        let has_start_time = record.registered_as.is_some();
         let member = Member {
             cold_until_ms: now_ms.saturating_add(record.cold_remaining_ms),
             assumed_cold_until_ms: known.map_or(0, |m| m.assumed_cold_until_ms),
             id_hash,
             record: Arc::new(record),
-            standing: Standing::Ready,
+            state: MemberState::Ready,
         };
         self.revision += 1;
-        self.lapsed.remove(&member.record.id);
-        let (id, place) = (member.record.id.clone(), member.place());
-        let before_place = self.members.insert(id.clone(), member).map(|m| m.place());
-        if before_place.as_ref() != Some(&place) {
-            let naming = self.naming.entry(place.clone()).or_default();
-            naming.push(id.clone());
-            if let Some(left) = before_place {
-                self.vacate(&left, &id);
-                self.name_no_more(&left, &id);
-                let pool = self.pools.entry(left.0).or_default();
-                pool.remove(&id, id_hash, tells_start);
+        self.lapsed_ids.remove(&member.record.id);
+        let (id, addr) = (member.record.id.clone(), member.pool_addr());
+        let before_addr = self
+            .members
+            .insert(id.clone(), member)
+            .map(|m| m.pool_addr());
+        if before_addr.as_ref() != Some(&addr) {
+            let claimants = self.addr_claimants.entry(addr.clone()).or_default();
+            claimants.push(id.clone());
+            if let Some(previous) = before_addr {
+                self.release_addr(&previous, &id);
+                self.remove_claimant(&previous, &id);
+                let pool = self.pools.entry(previous.0).or_default();
+                pool.remove(&id, id_hash, has_start_time);
             }
-            let pool = self.pools.entry(place.0.clone()).or_default();
-            pool.add(&id, id_hash, tells_start);
+            let pool = self.pools.entry(addr.0.clone()).or_default();
+            pool.add(&id, id_hash, has_start_time);
         }
-        self.occupy(place, &id);
+        self.claim_addr(addr, &id);
         match before {
             None => FleetChange::Joined,
-            Some(Standing::Lapsed { .. }) => FleetChange::Returned,
-            Some(Standing::Ready) => FleetChange::Nothing,
+            Some(MemberState::Lapsed { .. }) => FleetChange::Returned,
+            Some(MemberState::Ready) => FleetChange::Nothing,
         }
     }
 
-    /// Takes in that a member names an address.
-    fn occupy(&mut self, place: Place, id: &Name) {
-        let is_free = match self.at.get(&place) {
+    /// Makes a member the holder of an address unless another ready member holds it.
+    fn claim_addr(&mut self, addr: PoolAddr, id: &Name) {
+        let is_free = match self.addr_holders.get(&addr) {
             Some(other) => !self.members.get(other).is_some_and(Member::is_ready),
             None => true,
         };
         if is_free {
-            self.at.insert(place, id.clone());
+            self.addr_holders.insert(addr, id.clone());
         }
     }
 
-    /// Takes in that a member is at an address no longer; another one that names it is there now.
-    fn vacate(&mut self, place: &Place, id: &Name) {
-        if self.at.get(place) != Some(id) {
+    /// Removes a member as the holder of an address; another ready claimant becomes the holder.
+    fn release_addr(&mut self, addr: &PoolAddr, id: &Name) {
+        if self.addr_holders.get(addr) != Some(id) {
             return;
         }
-        self.at.remove(place);
-        let others = self.naming.get(place).into_iter().flatten();
+        self.addr_holders.remove(addr);
+        let others = self.addr_claimants.get(addr).into_iter().flatten();
         let others = others.filter(|other| {
             let member = self.members.get(*other);
             *other != id && member.is_some_and(Member::is_ready)
         });
-        // The same one at each box.
+        // The minimum makes all boxes choose the same one.
         if let Some(next) = others.min().cloned() {
-            self.at.insert(place.clone(), next);
+            self.addr_holders.insert(addr.clone(), next);
         }
     }
 
-    /// Takes in that a member names an address no longer.
-    fn name_no_more(&mut self, place: &Place, id: &Name) {
-        if let Some(naming) = self.naming.get_mut(place) {
-            naming.retain(|other| other != id);
-            if naming.is_empty() {
-                self.naming.remove(place);
+    /// Removes a member from the claimants of an address.
+    fn remove_claimant(&mut self, addr: &PoolAddr, id: &Name) {
+        if let Some(claimants) = self.addr_claimants.get_mut(addr) {
+            claimants.retain(|other| other != id);
+            if claimants.is_empty() {
+                self.addr_claimants.remove(addr);
             }
         }
     }
@@ -258,48 +266,50 @@
         let Some(member) = self.members.remove(id) else {
             return;
         };
-        let place = member.place();
-        self.lapsed.remove(id);
+        let addr = member.pool_addr();
+        self.lapsed_ids.remove(id);
         self.revision += 1;
-        self.vacate(&place, id);
-        self.name_no_more(&place, id);
-        if let Some(pool) = self.pools.get_mut(&place.0) {
-            pool.remove(id, member.id_hash, member.record.registered_as.is_some());
+        self.release_addr(&addr, id);
+        self.remove_claimant(&addr, id);
+        if let Some(pool) = self.pools.get_mut(&addr.0) {
+            pool.remove(id, member.id_hash, member.has_start_time());
         }
     }
 
-    /// Whether nobody else is at a member's address, as far as is known.
-    fn is_at_its_place(&self, member: &Member) -> bool {
-        let at = self.at.get(&member.place());
-        at.is_none_or(|id| *id == member.record.id)
+    /// Whether no other member is known to hold a member's address.
+    fn holds_addr(&self, member: &Member) -> bool {
+        let holder = self.addr_holders.get(&member.pool_addr());
+        holder.is_none_or(|id| *id == member.record.id)
     }
 
-    /// Takes an earlier incarnation under a record's name out: it ended, whether anybody saw that or not, and an
-    /// old list does not bring it back.
-    fn replace_earlier(&mut self, record: &UpstreamRecord) {
-        let earlier = self.ids.insert(record.name().clone(), record.id.clone());
-        let Some(earlier) = earlier.filter(|earlier| *earlier != record.id) else {
+    /// Removes the previous incarnation under a record's name: it has ended, whether or not that was observed, and an
+    /// outdated list does not restore it.
+    fn remove_previous_incarnation(&mut self, record: &UpstreamRecord) {
+        let previous = self
+            .ids_by_name
+            .insert(record.name().clone(), record.id.clone());
+        let Some(previous) = previous.filter(|previous| *previous != record.id) else {
             return;
         };
-        if let Some(member) = self.members.get(&earlier) {
+        if let Some(member) = self.members.get(&previous) {
             self.replaced.push(member.record.clone());
         }
-        self.replaced_ids.insert(&earlier);
-        self.leave(&earlier);
+        self.replaced_ids.insert(&previous);
+        self.mark_left(&previous);
     }
 
-    /// Whether another incarnation has taken this one's place.
+    /// Whether a later incarnation has replaced this one.
     pub fn is_replaced(&self, id: &str) -> bool {
         self.replaced_ids.contains(id)
     }
 
-    /// Incarnations that others replaced since this was last asked.
+    /// Returns the incarnations replaced since the last call.
     pub fn take_replaced(&mut self) -> Vec<Arc<UpstreamRecord>> {
         std::mem::take(&mut self.replaced)
     }
 
-    /// Takes upstreams of a hall to be cold until then, whatever their records say: they may have turned
-    /// cold since.
+    /// Assumes the upstreams of a hall to be cold until `until_ms`, regardless of their records: they may have become cold
+    /// since the records were written.
     pub fn assume_cold(&mut self, hall: &str, until_ms: impl Fn(&UpstreamRecord) -> u64) {
         let in_hall = self.members.values_mut();
         for member in in_hall.filter(|m| &*m.record.hall == hall) {
@@ -307,38 +317,38 @@
         }
     }
 
-    /// The member of this id.
+    /// The member with this id.
     pub fn member(&self, id: &str) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// Takes in that the record of this name is gone.
-    pub fn lapse(&mut self, name: &str, now_ms: u64) -> FleetChange {
-        let id = self.ids.get(name).cloned();
+    /// Marks the upstream of this name as lapsed: its record disappeared.
+    pub fn mark_lapsed(&mut self, name: &str, now_ms: u64) -> FleetChange {
+        let id = self.ids_by_name.get(name).cloned();
         match id.and_then(|id| self.members.get_mut(&id)) {
-            Some(member) if member.standing == Standing::Ready => {
-                member.standing = Standing::Lapsed { since_ms: now_ms };
-                let (place, id) = (member.place(), member.record.id.clone());
-                self.lapsed.insert(id.clone());
+            Some(member) if member.state == MemberState::Ready => {
+                member.state = MemberState::Lapsed { since_ms: now_ms };
+                let (addr, id) = (member.pool_addr(), member.record.id.clone());
+                self.lapsed_ids.insert(id.clone());
                 self.revision += 1;
-                self.vacate(&place, &id);
+                self.release_addr(&addr, &id);
                 FleetChange::Lapsed
             }
             _ => FleetChange::Nothing,
         }
     }
 
-    /// Takes in that an upstream leaves, or that another one answers at its address.
-    pub fn leave(&mut self, id: &Name) -> FleetChange {
-        if !self.left.insert(id) {
+    /// Removes an upstream for good: it leaves, or another one answers at its address.
+    pub fn mark_left(&mut self, id: &Name) -> FleetChange {
+        if !self.left_ids.insert(id) {
             return FleetChange::Nothing;
         }
         self.remove(id);
         FleetChange::Leaving
     }
 
-    /// Takes in a whole listing; returns what changed.
-    pub fn replace(
+    /// Replaces the membership by a complete listing; returns the changes.
+    pub fn replace_all(
         &mut self,
         records: Vec<UpstreamRecord>,
         now_ms: u64,
@@ -349,7 +359,7 @@
         let missing: Vec<Name> = missing.cloned().collect();
         let mut changes: Vec<(Name, FleetChange)> = Vec::new();
         for name in missing {
-            let change = self.lapse(&name, now_ms);
+            let change = self.mark_lapsed(&name, now_ms);
             changes.push((name, change));
         }
         for record in records {
@@ -360,13 +370,13 @@
         changes
     }
 
-    /// Merges a listing that may lack current records and contain removed ones; returns what changed.
+    /// Merges a listing that may lack current records and contain removed ones; returns the changes.
     ///
-    /// Missing upstreams are kept, and lapsed or forgotten ones do not return.
+    /// Missing upstreams are kept, and lapsed or expired ones do not return.
     pub fn merge(&mut self, records: Vec<UpstreamRecord>, now_ms: u64) -> Vec<(Name, FleetChange)> {
         let mut changes = Vec::new();
         for record in records {
-            if !record.is_leaving && self.is_lapsed_or_forgotten(&record.id) {
+            if !record.is_leaving && self.is_lapsed_or_expired(&record.id) {
                 continue;
             }
             let id = record.id.clone();
@@ -376,51 +386,51 @@
         changes
     }
 
-    fn is_lapsed_or_forgotten(&self, id: &str) -> bool {
+    fn is_lapsed_or_expired(&self, id: &str) -> bool {
         match self.members.get(id) {
             Some(member) => !member.is_ready(),
-            None => self.forgotten.contains(id),
+            None => self.expired_ids.contains(id),
         }
     }
 
-    /// Forgets upstreams that lapsed `grace_ms` ago or earlier; returns their ids.
-    pub fn forget_lapsed(&mut self, grace_ms: u64, now_ms: u64) -> Vec<Name> {
-        let is_gone = |id: &&Name| match self.members.get(*id).map(|m| m.standing) {
-            Some(Standing::Lapsed { since_ms }) => now_ms >= since_ms + grace_ms,
+    /// Removes upstreams that lapsed `grace_ms` ago or earlier; returns their ids.
+    pub fn expire_lapsed(&mut self, grace_ms: u64, now_ms: u64) -> Vec<Name> {
+        let is_expired = |id: &&Name| match self.members.get(*id).map(|m| m.state) {
+            Some(MemberState::Lapsed { since_ms }) => now_ms >= since_ms + grace_ms,
             _ => false,
         };
-        let ids: Vec<Name> = self.lapsed.iter().filter(is_gone).cloned().collect();
+        let ids: Vec<Name> = self.lapsed_ids.iter().filter(is_expired).cloned().collect();
         for id in &ids {
             self.remove(id);
-            self.forgotten.insert(id);
+            self.expired_ids.insert(id);
         }
-        // A name outlasts its member, so that the next incarnation under it is known to be the later one.
-        if self.ids.len() > self.members.len() + LEFT_KEPT {
+        // A name is kept after its member's removal, so that the next incarnation is recognized as a later one.
+        if self.ids_by_name.len() > self.members.len() + MAX_RECENT_IDS {
             let members = &self.members;
-            self.ids.retain(|_, id| members.contains_key(id));
+            self.ids_by_name.retain(|_, id| members.contains_key(id));
         }
         ids
     }
 
-    /// Upstreams of a pool: the ready ones, or the lapsed ones where none is ready.
+    /// Usable upstreams of a pool: the ready ones, or the lapsed ones if none is ready.
     ///
-    /// When a whole pool lapses at once, the registry is the likelier cause than the upstreams. A record that does not tell
-    /// its start where most of the pool do is another writer's and names nobody.
+    /// If a whole pool lapses at once, the cause is more likely the registry than the upstreams. A record without a
+    /// start time in a pool where most records have one comes from another writer and is ignored.
     pub fn usable(
         &self,
         pool: &str,
         may_serve: impl Fn(&UpstreamRecord) -> bool,
     ) -> Vec<Arc<UpstreamRecord>> {
         let mut of_pool: Vec<&Member> = Vec::new();
-        let mut told = 0;
+        let mut with_start_time = 0;
         for member in self.members.values().filter(|m| &*m.record.pool == pool) {
-            told += usize::from(member.record.registered_as.is_some());
+            with_start_time += usize::from(member.has_start_time());
             of_pool.push(member);
         }
-        let tell_starts = told * 2 > of_pool.len();
+        let requires_start_time = with_start_time * 2 > of_pool.len();
         of_pool.retain(|member| {
-            let tells = !tell_starts || member.record.registered_as.is_some();
-            tells && may_serve(&member.record) && self.is_at_its_place(member)
+            let is_accepted = !requires_start_time || member.has_start_time();
+            is_accepted && may_serve(&member.record) && self.holds_addr(member)
         });
         let has_ready = of_pool.iter().any(|member| member.is_ready());
         of_pool.retain(|member| member.is_ready() == has_ready);
@@ -428,13 +438,13 @@
         records.collect()
     }
 
-    /// Members of a pool.
+    /// Number of members of a pool.
     pub fn pool_len(&self, pool: &str) -> usize {
         self.pools.get(pool).map_or(0, PoolIndex::len)
     }
 
-    /// Ready upstreams of a key's home in a large pool.
-    pub fn usable_home(
+    /// Ready upstreams of a key's partition of a large pool.
+    pub fn usable_in_partition(
         &self,
         pool: &str,
         key: u64,
@@ -443,11 +453,11 @@
         let Some(index) = self.pools.get(pool) else {
             return Vec::new();
         };
-        self.usable_of(index, index.home(key), may_serve)
+        self.usable_of(index, index.partition(key), may_serve)
     }
 
-    /// Ready ones of up to `count` upstreams of a large pool, drawn at random by the seed.
-    pub fn usable_drawn(
+    /// Ready ones of up to `count` random upstreams of a large pool, determined by the seed.
+    pub fn usable_sample(
         &self,
         pool: &str,
         seed: u64,
@@ -457,7 +467,7 @@
         let Some(index) = self.pools.get(pool) else {
             return Vec::new();
         };
-        self.usable_of(index, index.drawn(seed, count), may_serve)
+        self.usable_of(index, index.sample(seed, count), may_serve)
     }
 
     fn usable_of<'a>(
@@ -466,16 +476,16 @@
         ids: impl Iterator<Item = &'a Name>,
         may_serve: impl Fn(&UpstreamRecord) -> bool,
     ) -> Vec<Arc<UpstreamRecord>> {
-        let tell_starts = pool.tell_starts();
+        let requires_start_time = pool.mostly_has_start_time();
         let members = ids.filter_map(|id| self.members.get(id));
         let usable = members.filter(|member| {
-            let tells = !tell_starts || member.record.registered_as.is_some();
-            tells && member.is_ready() && may_serve(&member.record) && self.is_at_its_place(member)
+            let is_accepted = !requires_start_time || member.has_start_time();
+            is_accepted && member.is_ready() && may_serve(&member.record) && self.holds_addr(member)
         });
         usable.map(|member| member.record.clone()).collect()
     }
 
-    /// Changes whenever a member does.
+    /// Revision of the membership; it increases with every change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -17,7 +17,7 @@
 use crate::gateway::backoff::Backoff;
 use crate::gateway::cold::RecentSends;
 use crate::gateway::departures::Departures;
-use crate::gateway::fleet::{Fleet, Standing, UpstreamRecord};
+use crate::gateway::fleet::{Fleet, MemberState, UpstreamRecord};
 use crate::gateway::limit::Limit;
 use crate::gateway::owners::Sharing;
 use crate::gateway::place::UpstreamLoad;
@@ -212,7 +212,7 @@
     /// Records of upstreams that take work.
     pub fn ready(&self, now_ms: u64) -> Vec<UpstreamRecord> {
         let members = self.fleet.members();
-        let ready = members.filter(|m| m.standing == Standing::Ready);
+        let ready = members.filter(|m| m.state == MemberState::Ready);
         ready
             .map(|m| UpstreamRecord {
                 cold_remaining_ms: m.cold_for_ms(now_ms),
@@ -238,7 +238,7 @@
 
     /// Forgets upstreams that lapsed `grace_ms` ago; returns their ids.
     pub fn sweep(&mut self, grace_ms: u64, now_ms: u64) -> Vec<Name> {
-        let forgotten = self.fleet.forget_lapsed(grace_ms, now_ms);
+        let forgotten = self.fleet.expire_lapsed(grace_ms, now_ms);
         let revision = self.fleet.revision();
         if self.swept.revision == revision && !self.swept.has_kept {
             return forgotten;
--- a/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/heard.rs
@@ -49,7 +49,7 @@
         if !is_leaving {
             return FleetChange::Nothing;
         }
-        let change = self.fleet.leave(id);
+        let change = self.fleet.mark_left(id);
         if change == FleetChange::Leaving {
             self.departures.record(id, now_ms);
         }
--- a/crates/ivyweir-policy/src/gateway/upstreams/pool.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/pool.rs
@@ -38,11 +38,11 @@
         };
         let key = ask.apart.or(ask.prefix);
         let home: Vec<Arc<UpstreamRecord>> = key.map_or_else(Vec::new, |key| {
-            self.fleet.usable_home(scope.pool, key, may_serve)
+            self.fleet.usable_in_partition(scope.pool, key, may_serve)
         });
         let drawn = self
             .fleet
-            .usable_drawn(scope.pool, ask.seed, DRAWN, may_serve);
+            .usable_sample(scope.pool, ask.seed, DRAWN, may_serve);
         let mut open = self.open_ones(home, rules, now_ms).unwrap_or_default();
         let homes = open.len();
         open.extend(self.open_ones(drawn, rules, now_ms).ok()?);
--- a/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
@@ -4,7 +4,7 @@
 
 use crate::Name;
 use crate::gateway::duty::supply::HallSupply;
-use crate::gateway::fleet::Standing;
+use crate::gateway::fleet::MemberState;
 use crate::gateway::upstreams::Upstreams;
 use crate::gateway::word::Running;
 
@@ -15,7 +15,7 @@
         let mut slots = 0;
         let of_pool = self.fleet.members().filter(|m| m.record.pool == *pool);
         let serving =
-            of_pool.filter(|m| m.standing == Standing::Ready && m.cold_for_ms(now_ms) == 0);
+            of_pool.filter(|m| m.state == MemberState::Ready && m.cold_for_ms(now_ms) == 0);
         for record in serving.map(|member| &member.record) {
             let of_hall = supply.entry(record.hall.clone()).or_default();
             if record.is_spot {
--- a/crates/ivyweir-policy/tests/gateway_decisions.rs
+++ b/crates/ivyweir-policy/tests/gateway_decisions.rs
@@ -151,11 +151,11 @@
     let mut fleet = Fleet::default();
     fleet.put(record("u1", "a"), 0);
     fleet.put(record("u2", "a"), 0);
-    fleet.lapse("u1", 100);
+    fleet.mark_lapsed("u1", 100);
     assert_eq!(usable(&fleet), ["u2".into()]);
-    fleet.lapse("u2", 200);
+    fleet.mark_lapsed("u2", 200);
     assert_eq!(usable(&fleet), ["u1".into(), "u2".into()]);
-    fleet.forget_lapsed(1_000, 1_150);
+    fleet.expire_lapsed(1_000, 1_150);
     assert_eq!(usable(&fleet), ["u2".into()]);
     assert_eq!(fleet.put(record("u2", "a"), 0), FleetChange::Returned);
 }
@@ -164,7 +164,7 @@
 fn a_listing_lapses_what_it_lacks() {
     let mut fleet = Fleet::default();
     fleet.put(record("u1", "a"), 0);
-    let changes = fleet.replace(vec![record("u2", "a"), leaving("u3")], 5);
+    let changes = fleet.replace_all(vec![record("u2", "a"), leaving("u3")], 5);
     let expected = [
         ("u1".into(), FleetChange::Lapsed),
         ("u2".into(), FleetChange::Joined),
@@ -453,8 +453,8 @@
     let mut fleet = Fleet::default();
     fleet.put(started(5), 0);
     fleet.put(started(9), 0);
-    assert_eq!(fleet.lapse("u", 10), FleetChange::Lapsed);
-    fleet.forget_lapsed(0, 10);
+    assert_eq!(fleet.mark_lapsed("u", 10), FleetChange::Lapsed);
+    fleet.expire_lapsed(0, 10);
     assert!(usable(&fleet).is_empty());
     // Forgotten, it is still the earlier one of the next.
     fleet.put(started(12), 20);
@@ -479,9 +479,9 @@
     // Written anew it is still the first one there.
     fleet.put(record("own", "a"), 5);
     assert_eq!(usable(&fleet), ["own".into()]);
-    fleet.lapse("own", 10);
+    fleet.mark_lapsed("own", 10);
     assert_eq!(usable(&fleet), ["foreign".into()]);
-    fleet.leave(&"foreign".into());
+    fleet.mark_left(&"foreign".into());
     assert_eq!(usable(&fleet), ["next".into()]);
     fleet.put(record("next", "a"), 20);
     fleet.put(record("own", "a"), 20);
--- a/crates/ivyweir-policy/tests/gateway_large_pools.rs
+++ b/crates/ivyweir-policy/tests/gateway_large_pools.rs
@@ -185,7 +185,7 @@
         .map(|n| chosen(&mut upstreams, &ask(Some(n), n)))
         .collect();
     for id in &first {
-        upstreams.fleet().leave(id);
+        upstreams.fleet().mark_left(id);
     }
     for n in 0..300 {
         assert!(!first.contains(&chosen(&mut upstreams, &ask(Some(n), n))));
@@ -223,15 +223,15 @@
             let id = record(n).id;
             match rng.random_range(0..10) {
                 0 => {
-                    fleet.lapse(&id, now_ms);
+                    fleet.mark_lapsed(&id, now_ms);
                     standing.remove(&id);
                 }
                 1 if now_ms > 250 => {
-                    fleet.leave(&id);
+                    fleet.mark_left(&id);
                     standing.remove(&id);
                 }
                 2 => {
-                    fleet.forget_lapsed(20, now_ms);
+                    fleet.expire_lapsed(20, now_ms);
                 }
                 _ => {
                     let named = UpstreamRecord {
--- a/crates/ivyweir-policy/tests/gateway_statements.rs
+++ b/crates/ivyweir-policy/tests/gateway_statements.rs
@@ -74,9 +74,9 @@
     match *heard {
         Heard::Ready(born) => drop(upstreams.fleet().put(record("u", born), 0)),
         Heard::Leaving(born) => drop(upstreams.fleet().put(leaving(record("u", born)), 0)),
-        Heard::Gone => drop(upstreams.fleet().lapse("u", 0)),
-        Heard::Listed(born) => drop(upstreams.fleet().replace(vec![record("u", born)], 0)),
-        Heard::Unlisted => drop(upstreams.fleet().replace(Vec::new(), 0)),
+        Heard::Gone => drop(upstreams.fleet().mark_lapsed("u", 0)),
+        Heard::Listed(born) => drop(upstreams.fleet().replace_all(vec![record("u", born)], 0)),
+        Heard::Unlisted => drop(upstreams.fleet().replace_all(Vec::new(), 0)),
         Heard::Answer(born) => drop(upstreams.hear(&id(born), &says_leaving(), MAX_BACKOFF_MS, 0)),
         Heard::Silent(born) => {
             let statement = Statement::new(Source::Answer);
@@ -239,7 +239,7 @@
 #[test]
 fn a_time_to_retry_after_outlasts_the_record() {
     let mut upstreams = one_backing_off(RetryAfter::ForMs(5_000));
-    upstreams.fleet().lapse("u", 100);
+    upstreams.fleet().mark_lapsed("u", 100);
     upstreams.sweep(0, 200);
     upstreams.fleet().put(record("u", 1), 300);
     assert!(backoff_ms(&mut upstreams, 400) > 0);
