--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -213,10 +213,10 @@
     pub fn own_word(&self) -> Word {
         let tallies = self.own_tallies();
         let upstreams = lock(&self.upstreams);
-        let work = upstreams.own_work();
+        let work = upstreams.local_work();
         let orders_upstreams = self.settings.duties.is_some_and(|d| d.order_upstreams);
         let running = if orders_upstreams {
-            upstreams.own_running()
+            upstreams.local_running()
         } else {
             Running::new()
         };
@@ -239,7 +239,7 @@
             return;
         }
         let now_ms = self.clock.now_ms();
-        lock(&self.upstreams).take_others_work(word.work, now_ms);
+        lock(&self.upstreams).set_peer_work(word.work, now_ms);
     }
 
     /// Takes in that a topic was listed in full.
@@ -363,7 +363,7 @@
             .saturating_sub(LEAVING_MARGIN_MS);
         let mut upstreams = lock(&self.upstreams);
         let forgotten = upstreams.sweep(grace_ms, now_ms);
-        self.channels.sweep(|id| upstreams.knows(id), now_ms);
+        self.channels.sweep(|id| upstreams.contains(id), now_ms);
         drop(upstreams);
         self.sweep_quarantine();
         self.sweep_usage();
--- a/crates/ivyweir-gateway/src/state/rollouts.rs
+++ b/crates/ivyweir-gateway/src/state/rollouts.rs
@@ -4,7 +4,7 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::rollout::{RolloutTrack, Side};
-use ivyweir_policy::gateway::upstreams::Target;
+use ivyweir_policy::gateway::upstreams::RolloutTarget;
 use ivyweir_policy::gateway::verdict::Tally;
 use serde_json::{Value, json};
 
@@ -29,14 +29,14 @@
 
     /// Takes in a pool's version that serves what no roll-out moves.
     pub fn settle(&self, pool: &Name, version: &Name) {
-        lock(&self.upstreams).settle(pool, version);
+        lock(&self.upstreams).set_default_version(pool, version);
     }
 
-    pub(super) fn rollout_target(&self, pool: &Name) -> Option<Target> {
+    pub(super) fn rollout_target(&self, pool: &Name) -> Option<RolloutTarget> {
         let rollouts = lock(&self.rollouts);
         let track = rollouts.get(pool)?;
         let order = track.order();
-        Some(Target {
+        Some(RolloutTarget {
             version: order.target_version.clone(),
             state: order.state,
             share: track.share(self.clock.now_ms()),
--- a/crates/ivyweir-gateway/src/state/sending.rs
+++ b/crates/ivyweir-gateway/src/state/sending.rs
@@ -6,7 +6,7 @@
 use ivyweir_policy::gateway::pace::PrefillPace;
 use ivyweir_policy::gateway::place::Ask;
 use ivyweir_policy::gateway::quarantine::Fingerprint;
-use ivyweir_policy::gateway::upstreams::{Choice, Scope, SendRules, Unplaced, Withheld};
+use ivyweir_policy::gateway::upstreams::{Choice, ChooseError, Scope, SendDenied, SendRules};
 use ivyweir_policy::gateway::work::Estimate;
 use serde_json::json;
 
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// When none may take the request now.
-    pub fn choose(&self, scope: &Scope, ask: &Ask) -> Result<Choice, Unplaced> {
+    pub fn choose(&self, scope: &Scope, ask: &Ask) -> Result<Choice, ChooseError> {
         let now_ms = self.clock.now_ms();
         let rules = self.send_rules(scope.pool, now_ms);
         let mut upstreams = lock(&self.upstreams);
@@ -74,9 +74,9 @@
         &self,
         upstream: &UpstreamRecord,
         fingerprint: Fingerprint,
-    ) -> Result<(), Withheld> {
+    ) -> Result<(), SendDenied> {
         if self.is_quarantined(fingerprint) {
-            return Err(Withheld::Quarantined);
+            return Err(SendDenied::Quarantined);
         }
         let now_ms = self.clock.now_ms();
         let rules = self.send_rules(&upstream.pool, now_ms);
--- a/crates/ivyweir-gateway/src/state/statements.rs
+++ b/crates/ivyweir-gateway/src/state/statements.rs
@@ -13,7 +13,7 @@
     pub fn hear(&self, id: &Name, statement: &Statement) {
         let now_ms = self.clock.now_ms();
         let max_backoff_ms = self.settings.policy.max_backoff_ms;
-        let heard = lock(&self.upstreams).hear(id, statement, max_backoff_ms, now_ms);
+        let heard = lock(&self.upstreams).apply_statement(id, statement, max_backoff_ms, now_ms);
         if heard.fleet != FleetChange::Nothing {
             self.log_change(id, heard.fleet, statement.source);
         }
@@ -64,7 +64,7 @@
     /// Upstreams that this box heard to leave lately, other than by the registry.
     pub fn departures(&self) -> Vec<Name> {
         let now_ms = self.clock.now_ms();
-        lock(&self.upstreams).departures(now_ms)
+        lock(&self.upstreams).recent_departures(now_ms)
     }
 
     /// Takes in what other boxes know of upstreams' limits.
@@ -77,7 +77,7 @@
     /// What other boxes are to know of upstreams' limits.
     pub fn limits(&self) -> Vec<ToldLimit> {
         let now_ms = self.clock.now_ms();
-        lock(&self.upstreams).limits(now_ms)
+        lock(&self.upstreams).recent_limits(now_ms)
     }
 
     /// Waits until there is something that other boxes must know at once.
--- a/crates/ivyweir-gateway/src/state/waiting.rs
+++ b/crates/ivyweir-gateway/src/state/waiting.rs
@@ -111,6 +111,6 @@
         let boxes = u32::try_from(self.peers.fleet_size()).unwrap_or(u32::MAX);
         let target = self.rollout_target(scope.pool);
         let mut upstreams = lock(&self.upstreams);
-        upstreams.places_within(&scope, target.as_ref(), boxes, until_ms)
+        upstreams.capacity_by(&scope, target.as_ref(), boxes, until_ms)
     }
 }
--- a/crates/ivyweir-gateway/src/stream/resume.rs
+++ b/crates/ivyweir-gateway/src/stream/resume.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
-use ivyweir_policy::gateway::upstreams::Unplaced;
+use ivyweir_policy::gateway::upstreams::ChooseError;
 use serde_json::json;
 use tokio::time::sleep;
 
@@ -48,7 +48,7 @@
         {
             let choice = match choose(&self.gateway, &self.job, &self.tried, self.model) {
                 Ok(choice) => choice,
-                Err(Unplaced::AllBackingOff { for_ms })
+                Err(ChooseError::AllBackingOff { for_ms })
                     if self
                         .gateway
                         .takes_one_by(&self.job, for_ms, patient_until_ms) =>
--- a/crates/ivyweir-gateway/src/tries.rs
+++ b/crates/ivyweir-gateway/src/tries.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::upstreams::{Choice, Scope, Unplaced};
+use ivyweir_policy::gateway::upstreams::{Choice, ChooseError, Scope};
 use ivyweir_policy::gateway::wait::spread_retry_after_ms;
 use serde_json::json;
 
@@ -54,7 +54,7 @@
         }
         let choice = match choose(gateway, job, &tries.tried, tries.model) {
             Ok(choice) => choice,
-            Err(Unplaced::AllBackingOff { for_ms })
+            Err(ChooseError::AllBackingOff { for_ms })
                 if waits(gateway, job, tries, for_ms, &waiter) =>
             {
                 trace.step("waits", json!({"backing_off_for_ms": for_ms}));
@@ -71,7 +71,7 @@
                 "upstream": choice.upstream.id, "version": choice.upstream.version,
                 "hall": choice.upstream.hall, "mean_work_ms": choice.mean_work_ms,
                 "candidates": choice.candidates, "model": tries.model,
-                "load_ms": choice.load_ms, "read_ms": choice.read_ms, "kept_part_ms": choice.saved_ms,
+                "load_ms": choice.load_ms, "read_ms": choice.prefill_ms, "kept_part_ms": choice.saved_ms,
                 "pace_answers": gateway.with_pace(&job.pool, |pace| pace.sample_count(tries.model)),
             }),
         );
@@ -126,7 +126,7 @@
         return Ok(());
     }
     let why = match choose(gateway, job, &[], tries.model) {
-        Err(why @ Unplaced::AllBackingOff { .. }) => refusal(job, why),
+        Err(why @ ChooseError::AllBackingOff { .. }) => refusal(job, why),
         _ => Reason::NoUpstream,
     };
     Err(gave_up(tries, why, Reason::AnswerLost))
@@ -169,7 +169,7 @@
     job: &Job,
     tried: &[Name],
     model: usize,
-) -> Result<Choice, Unplaced> {
+) -> Result<Choice, ChooseError> {
     let mut ask = job.ask(model, gateway.estimate(job, model), &gateway.settings);
     if gateway.suspicion(job.fingerprint) == Suspicion::UpstreamEnded {
         ask.apart = Some(job.fingerprint.bits());
@@ -186,12 +186,12 @@
 }
 
 /// The refusal of a request that no upstream takes.
-fn refusal(job: &Job, why: Unplaced) -> Reason {
+fn refusal(job: &Job, why: ChooseError) -> Reason {
     match why {
-        Unplaced::Nobody => Reason::NoUpstream,
-        Unplaced::HallsDrained => Reason::HallsDrained,
-        Unplaced::AllCold => Reason::AllCold,
-        Unplaced::AllBackingOff { for_ms } => Reason::AllBackingOff {
+        ChooseError::NoUpstream => Reason::NoUpstream,
+        ChooseError::HallsDrained => Reason::HallsDrained,
+        ChooseError::AllCold => Reason::AllCold,
+        ChooseError::AllBackingOff { for_ms } => Reason::AllBackingOff {
             come_back_ms: spread_retry_after_ms(for_ms, job.rank(), job.seed),
         },
     }
--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -1,12 +1,12 @@
-//! The upstreams as a box sees them: which there are, how busy they are, and which may serve.
+//! A box's view of the upstreams: membership, load, and eligibility for requests.
 //!
-//! All that is heard of an upstream is taken in here, and every send asks here whether it may go. What is kept is
-//! kept by incarnation, so the next one begins anew.
+//! Everything that a box learns of an upstream is recorded here, and every send is checked here. State is kept by
+//! incarnation, so a restarted upstream starts with an empty state.
 
+mod admission;
 mod choice;
-mod gate;
-mod heard;
-mod pool;
+mod large_pool;
+mod statements;
 mod supply;
 mod versions;
 
@@ -25,39 +25,39 @@
 use crate::gateway::word::Work;
 use crate::rank::hash64;
 
-pub use heard::Heard;
+pub use statements::StatementEffects;
 
-/// The upstreams and what this box knows of their load.
+/// The upstreams and this box's state for each of them.
 #[derive(Debug, Default)]
 pub struct Upstreams {
     fleet: Fleet,
-    loads: HashMap<Name, Known>,
-    /// The version of each pool that serves what no roll-out moves.
-    settled: HashMap<Name, Name>,
-    /// Halls whose upstreams get nothing.
+    states: HashMap<Name, UpstreamState>,
+    /// The version of each pool that serves requests outside a roll-out.
+    default_versions: HashMap<Name, Name>,
+    /// Halls whose upstreams receive no requests.
     drained_halls: BTreeSet<Name>,
     departures: Departures,
-    /// Upstreams of which a limit was heard.
+    /// Upstreams that declared a limit.
     limited: HashSet<Name>,
-    /// Differs between boxes.
-    own: u64,
-    /// Other boxes' work, and when it was told.
-    others_work: Work,
-    others_at_ms: Option<u64>,
-    swept: Swept,
+    /// Seed that differs between boxes.
+    box_seed: u64,
+    /// Work of other boxes' requests, and the time of its receipt.
+    peer_work: Work,
+    peer_work_at_ms: Option<u64>,
+    last_sweep: SweepState,
 }
 
-/// What the last sweep found.
+/// Result of the last sweep.
 #[derive(Debug, Default)]
-struct Swept {
-    /// The fleet's revision.
+struct SweepState {
+    /// The fleet's revision at the sweep.
     revision: u64,
-    /// Whether something was kept of upstreams that are gone.
-    has_kept: bool,
+    /// Whether state of removed upstreams was retained.
+    has_retained: bool,
 }
 
 #[derive(Debug)]
-struct Known {
+struct UpstreamState {
     load: UpstreamLoad,
     id_hash: u64,
     sends: RecentSends,
@@ -65,77 +65,76 @@
     limit: Limit,
 }
 
-impl Known {
-    /// Whether this box's part of what the upstream bears while it is cold is not used up.
-    fn bears_one(&self, sharing: &Sharing, limit: u32, now_ms: u64) -> bool {
+impl UpstreamState {
+    /// Whether this box's share of the cold upstream's rate allows one more request.
+    fn allows_cold_send(&self, sharing: &Sharing, limit: u32, now_ms: u64) -> bool {
         self.sends.count(now_ms) < sharing.own_part(self.id_hash, limit)
     }
 }
 
-/// What binds sends to the upstreams of a pool.
+/// Restrictions on sends to the upstreams of a pool.
 #[derive(Debug, Clone, Default)]
 pub struct SendRules {
-    /// How boxes share what an upstream takes.
+    /// How boxes divide an upstream's limits among them.
     pub sharing: Sharing,
-    /// Requests that an upstream may get within a second while it is cold, over all boxes; none where they are never
-    /// cold.
+    /// Requests that a cold upstream may get per second from all boxes together; none if the pool has no cold phase.
     pub cold_limit: Option<u32>,
 }
 
-/// Why no upstream takes a request.
+/// Why no upstream accepts a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unplaced {
-    /// None is left.
-    Nobody,
-    /// All that are left are in drained halls.
+pub enum ChooseError {
+    /// No upstream is left.
+    NoUpstream,
+    /// The remaining upstreams are in drained halls.
     HallsDrained,
-    /// All that are left are cold and have got this box's part of what they bear.
+    /// The remaining upstreams are cold, and this box's share of their rate is used up.
     AllCold,
-    /// All that are left want nothing from this box for now.
+    /// The remaining upstreams back off from this box.
     AllBackingOff {
-        /// Time until the first one takes a request.
+        /// Time until the first one accepts a request.
         for_ms: u64,
     },
 }
 
-/// Why a request is not sent to the upstream that was chosen for it: what was known of either has changed
-/// since.
+/// Why a request is not sent to the upstream that was chosen for it: the state of the request or of the upstream has
+/// changed since the choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Withheld {
-    /// It left.
+pub enum SendDenied {
+    /// The upstream left.
     Gone,
     /// Its hall is drained.
     HallDrained,
-    /// It wants nothing from this box for now.
+    /// It backs off from this box.
     Backoff {
-        /// Time until it takes a request.
+        /// Time until it accepts a request.
         for_ms: u64,
     },
-    /// It names a limit, and this box has sent its part of that.
+    /// It declares a limit, and this box's share of it is used up.
     Limited {
-        /// Time until it takes a request.
+        /// Time until it accepts a request.
         for_ms: u64,
     },
-    /// It is cold and has got this box's part of what it bears.
+    /// It is cold, and this box's share of its rate is used up.
     Cold,
-    /// The request was at several upstreams when they ended.
+    /// The request was running at several upstreams when they terminated.
     Quarantined,
 }
 
-/// An upstream that was chosen, and why.
+/// A chosen upstream with the figures behind the choice.
 #[derive(Debug, Clone)]
 pub struct Choice {
     /// The upstream.
     pub upstream: Arc<UpstreamRecord>,
-    /// Mean work of the pool's upstreams.
+    /// Mean pending work of the pool's upstreams.
     pub mean_work_ms: f64,
-    /// Number of upstreams that were weighed.
+    /// Number of upstreams that were compared.
     pub candidates: usize,
-    /// Work under way at the one that was chosen.
+    /// Pending work of the chosen upstream.
     pub load_ms: f64,
-    /// What the request itself takes until its first token.
-    pub read_ms: f64,
-    /// What of that is saved where its shared part is kept.
+    /// Estimated time of the request until its first token.
+    pub prefill_ms: f64,
+    /// Part of that time which is saved if the shared prompt is cached.
     pub saved_ms: f64,
 }
 
@@ -144,28 +143,28 @@
 pub struct Scope<'a> {
     /// The pool.
     pub pool: &'a Name,
-    /// The side of a roll-out that serves it; none where none is under way.
+    /// The side of the roll-out that serves the request; none without a roll-out.
     pub side: Option<Side>,
-    /// Upstreams that were tried.
+    /// Upstreams that were already tried.
     pub tried: &'a [Name],
 }
 
-/// A roll-out's version and how far it is.
+/// A roll-out's target version and its progress.
 #[derive(Debug)]
-pub struct Target {
-    /// The version that is to serve the pool.
+pub struct RolloutTarget {
+    /// The version that the roll-out introduces.
     pub version: Name,
-    /// How far the roll-out is.
+    /// State of the roll-out.
     pub state: RolloutState,
-    /// Share of the pool's sessions that the version gets now.
+    /// Current share of the pool's sessions that the version serves.
     pub share: f64,
 }
 
 impl Upstreams {
-    /// No upstream yet; `own` differs between boxes.
-    pub fn new(own: u64) -> Self {
+    /// Creates an empty set; `box_seed` differs between boxes.
+    pub fn new(box_seed: u64) -> Self {
         Self {
-            own,
+            box_seed,
             ..Self::default()
         }
     }
@@ -175,8 +174,8 @@
         self.drained_halls.insert(hall)
     }
 
-    /// Ends the drain of a hall; returns whether it was drained. Its upstreams may have turned cold
-    /// meanwhile, so each is taken to be cold until `cold_until_ms`.
+    /// Ends the drain of a hall; returns whether it was drained. Its upstreams may have become cold meanwhile, so each
+    /// is assumed to be cold until `cold_until_ms`.
     pub fn undrain_hall(
         &mut self,
         hall: &Name,
@@ -189,27 +188,27 @@
         was_drained
     }
 
-    /// Halls that are drained.
+    /// The drained halls.
     pub fn drained_halls(&self) -> Vec<Name> {
         self.drained_halls.iter().cloned().collect()
     }
 
-    /// The upstreams themselves.
+    /// The membership of the upstreams.
     pub fn fleet(&mut self) -> &mut Fleet {
         &mut self.fleet
     }
 
-    /// What is known of an upstream's load.
+    /// Load of an upstream.
     pub fn load(&mut self, id: &Name) -> &mut UpstreamLoad {
-        &mut self.known(id).load
+        &mut self.state_mut(id).load
     }
 
-    /// Takes in a pool's version that serves what no roll-out moves.
-    pub fn settle(&mut self, pool: &Name, version: &Name) {
-        self.settled.insert(pool.clone(), version.clone());
+    /// Sets the version of a pool that serves requests outside a roll-out.
+    pub fn set_default_version(&mut self, pool: &Name, version: &Name) {
+        self.default_versions.insert(pool.clone(), version.clone());
     }
 
-    /// Records of upstreams that take work.
+    /// Records of the upstreams that accept requests.
     pub fn ready(&self, now_ms: u64) -> Vec<UpstreamRecord> {
         let members = self.fleet.members();
         let ready = members.filter(|m| m.state == MemberState::Ready);
@@ -221,77 +220,83 @@
             .collect()
     }
 
-    /// Work of this box's own requests, where there is some, in whole milliseconds: their digits are most of
-    /// what boxes tell each other.
-    pub fn own_work(&self) -> Work {
-        let loads = self.loads.iter();
-        let own = loads.map(|(id, known)| (id, known.load.own_work_ms().round()));
-        let some = own.filter(|(_, work_ms)| *work_ms > 0.0);
-        some.map(|(id, work_ms)| (id.clone(), work_ms)).collect()
+    /// Pending work of this box's requests by upstream, if not zero, rounded to milliseconds: these numbers are most of
+    /// the traffic between boxes.
+    pub fn local_work(&self) -> Work {
+        let states = self.states.iter();
+        let local = states.map(|(id, state)| (id, state.load.own_work_ms().round()));
+        let nonzero = local.filter(|(_, work_ms)| *work_ms > 0.0);
+        nonzero.map(|(id, work_ms)| (id.clone(), work_ms)).collect()
     }
 
-    /// Takes in other boxes' work.
-    pub fn take_others_work(&mut self, work: Work, now_ms: u64) {
-        self.others_work = work;
-        self.others_at_ms = Some(now_ms);
+    /// Sets the pending work of other boxes' requests.
+    pub fn set_peer_work(&mut self, work: Work, now_ms: u64) {
+        self.peer_work = work;
+        self.peer_work_at_ms = Some(now_ms);
     }
 
-    /// Forgets upstreams that lapsed `grace_ms` ago; returns their ids.
+    /// Removes upstreams that lapsed `grace_ms` ago or earlier, and state that is no longer needed; returns the ids of
+    /// the removed upstreams.
     pub fn sweep(&mut self, grace_ms: u64, now_ms: u64) -> Vec<Name> {
-        let forgotten = self.fleet.expire_lapsed(grace_ms, now_ms);
+        let expired = self.fleet.expire_lapsed(grace_ms, now_ms);
         let revision = self.fleet.revision();
-        if self.swept.revision == revision && !self.swept.has_kept {
-            return forgotten;
+        if self.last_sweep.revision == revision && !self.last_sweep.has_retained {
+            return expired;
         }
         let fleet = &self.fleet;
-        let mut has_kept = false;
-        self.loads.retain(|id, known| {
+        let mut has_retained = false;
+        self.states.retain(|id, state| {
             if fleet.member(id).is_some() {
                 return true;
             }
-            let is_kept = known.load.in_flight() > 0
-                || known.backoff.is_active(now_ms)
-                || known.limit.told(id, now_ms).is_some();
-            has_kept |= is_kept;
-            is_kept
+            let is_retained = state.load.in_flight() > 0
+                || state.backoff.is_active(now_ms)
+                || state.limit.told(id, now_ms).is_some();
+            has_retained |= is_retained;
+            is_retained
         });
-        let loads = &self.loads;
-        self.limited.retain(|id| loads.contains_key(id));
-        self.swept = Swept { revision, has_kept };
-        forgotten
+        let states = &self.states;
+        self.limited.retain(|id| states.contains_key(id));
+        self.last_sweep = SweepState {
+            revision,
+            has_retained,
+        };
+        expired
     }
 
-    /// Whether this is an upstream that may be used.
-    pub fn knows(&self, id: &str) -> bool {
+    /// Whether an upstream is a member of the fleet.
+    pub fn contains(&self, id: &str) -> bool {
         self.fleet.member(id).is_some()
     }
 
-    /// Requests that the upstreams that may serve take of this box within a time; each shares its places out among
-    /// `boxes`.
-    pub fn places_within(
+    /// Number of requests that the usable upstreams accept from this box up to `until_ms`; the slots of each are divided
+    /// among `boxes`.
+    pub fn capacity_by(
         &mut self,
         scope: &Scope,
-        target: Option<&Target>,
+        target: Option<&RolloutTarget>,
         boxes: u32,
         until_ms: u64,
     ) -> u32 {
         let usable = self.usable(scope, target);
-        let places = usable.iter().map(|record| {
+        let capacities = usable.iter().map(|record| {
             let own_part = (record.slots / boxes.max(1)).max(1);
-            let known = self.known(&record.id);
-            let limit = known.limit.room_by(until_ms).unwrap_or(u32::MAX);
-            known.backoff.capacity_by(until_ms).min(limit).min(own_part)
+            let state = self.state_mut(&record.id);
+            let limit = state.limit.room_by(until_ms).unwrap_or(u32::MAX);
+            state.backoff.capacity_by(until_ms).min(limit).min(own_part)
         });
-        places.fold(0, u32::saturating_add)
+        capacities.fold(0, u32::saturating_add)
     }
 
-    fn known(&mut self, id: &Name) -> &mut Known {
-        self.loads.entry(id.clone()).or_insert_with(|| Known {
-            load: UpstreamLoad::default(),
-            id_hash: hash64(&[id.as_bytes()]),
-            sends: RecentSends::default(),
-            backoff: Backoff::default(),
-            limit: Limit::default(),
-        })
+    fn state_mut(&mut self, id: &Name) -> &mut UpstreamState {
+        self.states
+            .entry(id.clone())
+            .or_insert_with(|| UpstreamState {
+                load: UpstreamLoad::default(),
+                id_hash: hash64(&[id.as_bytes()]),
+                sends: RecentSends::default(),
+                backoff: Backoff::default(),
+                limit: Limit::default(),
+            })
     }
 }
--- /dev/null
+++ b/crates/ivyweir-policy/src/gateway/upstreams/admission.rs
@@ -0,0 +1,109 @@
+//! Admission check for sends: whether an upstream may be sent a request now. Every send passes it.
+
+use std::sync::Arc;
+
+use super::{ChooseError, SendDenied, SendRules, Upstreams};
+use crate::Name;
+use crate::gateway::fleet::UpstreamRecord;
+
+impl Upstreams {
+    /// Checks whether an upstream may be sent a request now. The check is made at the time of the send, since the state
+    /// may have changed since the upstream was chosen.
+    ///
+    /// # Errors
+    ///
+    /// If the upstream has left, its hall is drained, it backs off from this box, or this box's share of its limit or of
+    /// its cold rate is used up.
+    pub fn may_send(
+        &mut self,
+        id: &Name,
+        rules: &SendRules,
+        now_ms: u64,
+    ) -> Result<(), SendDenied> {
+        let member = self.fleet.member(id).ok_or(SendDenied::Gone)?;
+        if self.drained_halls.contains(&member.record.hall) {
+            return Err(SendDenied::HallDrained);
+        }
+        let is_cold = member.cold_for_ms(now_ms) > 0;
+        self.check_limits(id, rules, is_cold, now_ms)
+    }
+
+    /// Checks an upstream's back-off and this box's shares of its limit and of its cold rate.
+    fn check_limits(
+        &mut self,
+        id: &Name,
+        rules: &SendRules,
+        is_cold: bool,
+        now_ms: u64,
+    ) -> Result<(), SendDenied> {
+        let cold_limit = rules.cold_limit.filter(|_| is_cold);
+        let state = self.state_mut(id);
+        let for_ms = state.backoff.remaining_ms(now_ms);
+        if for_ms > 0 {
+            return Err(SendDenied::Backoff { for_ms });
+        }
+        let for_ms = state.limit.left_ms(&rules.sharing, state.id_hash, now_ms);
+        if for_ms > 0 {
+            return Err(SendDenied::Limited { for_ms });
+        }
+        if cold_limit.is_some_and(|limit| !state.allows_cold_send(&rules.sharing, limit, now_ms)) {
+            return Err(SendDenied::Cold);
+        }
+        Ok(())
+    }
+
+    /// Checks a send and, if it is allowed, counts it.
+    ///
+    /// # Errors
+    ///
+    /// As for [`may_send`](Self::may_send).
+    pub fn begin_send(
+        &mut self,
+        id: &Name,
+        rules: &SendRules,
+        now_ms: u64,
+    ) -> Result<(), SendDenied> {
+        self.may_send(id, rules, now_ms)?;
+        let state = self.state_mut(id);
+        state.backoff.record_send();
+        state.limit.note_send(now_ms);
+        if rules.cold_limit.is_some() {
+            // Also counted while it is warm, since it may become cold within the counting window.
+            state.sends.record(now_ms);
+        }
+        Ok(())
+    }
+
+    /// Returns those of the usable upstreams that may be sent a request now, or an error if there are none.
+    pub(super) fn filter_sendable(
+        &mut self,
+        records: Vec<Arc<UpstreamRecord>>,
+        rules: &SendRules,
+        now_ms: u64,
+    ) -> Result<Vec<Arc<UpstreamRecord>>, ChooseError> {
+        let mut sendable = Vec::with_capacity(records.len());
+        let mut shortest_ms: Option<u64> = None;
+        let mut has_cold = false;
+        for record in records {
+            let member = self.fleet.member(&record.id);
+            let is_cold = member.is_some_and(|member| member.cold_for_ms(now_ms) > 0);
+            match self.check_limits(&record.id, rules, is_cold, now_ms) {
+                Ok(()) => sendable.push(record),
+                Err(SendDenied::Backoff { for_ms } | SendDenied::Limited { for_ms }) => {
+                    shortest_ms = Some(shortest_ms.map_or(for_ms, |ms| ms.min(for_ms)));
+                }
+                Err(SendDenied::Cold) => has_cold = true,
+                Err(_) => {}
+            }
+        }
+        if !sendable.is_empty() {
+            return Ok(sendable);
+        }
+        Err(match shortest_ms {
+            // A cold upstream may accept a request before the shortest back-off ends.
+            Some(for_ms) if !has_cold => ChooseError::AllBackingOff { for_ms },
+            _ if has_cold => ChooseError::AllCold,
+            _ => ChooseError::NoUpstream,
+        })
+    }
+}
--- a/crates/ivyweir-policy/src/gateway/upstreams/choice.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/choice.rs
@@ -1,8 +1,8 @@
-//! The choice of an upstream for a request.
+//! Choice of an upstream for a request.
 
 use std::sync::Arc;
 
-use super::{Choice, Scope, SendRules, Target, Unplaced, Upstreams};
+use super::{Choice, ChooseError, RolloutTarget, Scope, SendRules, Upstreams};
 use crate::Name;
 use crate::gateway::fleet::UpstreamRecord;
 use crate::gateway::place::{self, Ask, Candidate};
@@ -12,16 +12,16 @@
     ///
     /// # Errors
     ///
-    /// When none may take the request now.
+    /// If no upstream can accept the request now.
     pub fn choose(
         &mut self,
         scope: &Scope,
         ask: &Ask,
-        target: Option<&Target>,
+        target: Option<&RolloutTarget>,
         rules: &SendRules,
         now_ms: u64,
-    ) -> Result<Choice, Unplaced> {
-        if let Some(choice) = self.choose_of_many(scope, ask, target, rules, now_ms) {
+    ) -> Result<Choice, ChooseError> {
+        if let Some(choice) = self.choose_from_sample(scope, ask, target, rules, now_ms) {
             return Ok(choice);
         }
         let mut records = self.usable(scope, target);
@@ -30,50 +30,52 @@
         }
         records.retain(|record| !scope.tried.contains(&record.id));
         if records.is_empty() {
-            return Err(Unplaced::Nobody);
+            return Err(ChooseError::NoUpstream);
         }
-        let records = self.open_ones(records, rules, now_ms)?;
-        self.choose_among(&records, None, ask, now_ms)
-            .ok_or(Unplaced::Nobody)
+        let records = self.filter_sendable(records, rules, now_ms)?;
+        self.choose_from(&records, None, ask, now_ms)
+            .ok_or(ChooseError::NoUpstream)
     }
 
-    pub(super) fn choose_among(
+    /// Chooses among records. `partition_len` is the number of leading records that come from a key's partition, if the
+    /// records are a sample of a large pool.
+    pub(super) fn choose_from(
         &mut self,
         records: &[Arc<UpstreamRecord>],
-        homes: Option<usize>,
+        partition_len: Option<usize>,
         ask: &Ask,
         now_ms: u64,
     ) -> Option<Choice> {
         let candidates: Vec<Candidate> = records.iter().map(|r| self.candidate(r)).collect();
-        let chosen = place::choose_drawn(&candidates, homes, ask, now_ms)?;
+        let chosen = place::choose_drawn(&candidates, partition_len, ask, now_ms)?;
         Some(Choice {
             upstream: records[chosen].clone(),
-            mean_work_ms: place::mean_work_ms(&candidates[homes.unwrap_or(0)..], now_ms),
+            mean_work_ms: place::mean_work_ms(&candidates[partition_len.unwrap_or(0)..], now_ms),
             candidates: candidates.len(),
             load_ms: candidates[chosen].load.load_ms(now_ms),
-            read_ms: ask.engine.map_or(0.0, |estimate| estimate.prefill_ms),
+            prefill_ms: ask.engine.map_or(0.0, |estimate| estimate.prefill_ms),
             saved_ms: ask.engine.map_or(0.0, |estimate| estimate.saved_ms),
         })
     }
 
-    /// Why a pool has no upstream that may serve.
-    fn why_unusable(&self, pool: &Name) -> Unplaced {
+    /// Why a pool has no usable upstream.
+    fn why_unusable(&self, pool: &Name) -> ChooseError {
         let mut of_pool = self.fleet.members().filter(|m| m.record.pool == *pool);
         if of_pool.any(|m| self.drained_halls.contains(&m.record.hall)) {
-            Unplaced::HallsDrained
+            ChooseError::HallsDrained
         } else {
-            Unplaced::Nobody
+            ChooseError::NoUpstream
         }
     }
 
     fn candidate<'a>(&mut self, record: &'a UpstreamRecord) -> Candidate<'a> {
-        let others = self.others_at_ms.map(|at_ms| {
-            let work_ms = self.others_work.get(&record.id).copied();
+        let peer_work = self.peer_work_at_ms.map(|at_ms| {
+            let work_ms = self.peer_work.get(&record.id).copied();
             (work_ms.unwrap_or(0.0), at_ms)
         });
-        let known = self.known(&record.id);
-        let (id_hash, mut load) = (known.id_hash, known.load.clone());
-        if let Some((work_ms, at_ms)) = others {
+        let state = self.state_mut(&record.id);
+        let (id_hash, mut load) = (state.id_hash, state.load.clone());
+        if let Some((work_ms, at_ms)) = peer_work {
             load.others(work_ms, at_ms);
         }
         Candidate {
--- a/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
@@ -1,4 +1,4 @@
-//! What orders of upstreams are planned by.
+//! Inputs for planning how many upstreams to order.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 use crate::gateway::word::Running;
 
 impl Upstreams {
-    /// A pool's upstreams that serve and are not cold, by hall, and the most requests that one of them works on.
+    /// Number of a pool's ready upstreams that are not cold, by hall, and the highest slot count among them.
     pub fn supply(&self, pool: &Name, now_ms: u64) -> (HashMap<Name, HallSupply>, u32) {
         let mut supply: HashMap<Name, HallSupply> = HashMap::new();
         let mut slots = 0;
@@ -17,22 +17,22 @@
         let serving =
             of_pool.filter(|m| m.state == MemberState::Ready && m.cold_for_ms(now_ms) == 0);
         for record in serving.map(|member| &member.record) {
-            let of_hall = supply.entry(record.hall.clone()).or_default();
+            let hall_supply = supply.entry(record.hall.clone()).or_default();
             if record.is_spot {
-                of_hall.spot += 1;
+                hall_supply.spot += 1;
             } else {
-                of_hall.lasting += 1;
+                hall_supply.lasting += 1;
             }
             slots = slots.max(record.slots);
         }
         (supply, slots)
     }
 
-    /// This box's requests under way, by pool.
-    pub fn own_running(&self) -> Running {
+    /// Number of this box's requests in flight, by pool.
+    pub fn local_running(&self) -> Running {
         let mut running = Running::new();
-        for (id, known) in &self.loads {
-            let in_flight = known.load.in_flight();
+        for (id, state) in &self.states {
+            let in_flight = state.load.in_flight();
             if in_flight > 0
                 && let Some(member) = self.fleet.member(id)
             {
--- a/crates/ivyweir-policy/tests/gateway_large_pools.rs
+++ b/crates/ivyweir-policy/tests/gateway_large_pools.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange, UpstreamRecord};
 use ivyweir_policy::gateway::place::Ask;
-use ivyweir_policy::gateway::upstreams::{Choice, Scope, SendRules, Unplaced, Upstreams};
+use ivyweir_policy::gateway::upstreams::{Choice, ChooseError, Scope, SendRules, Upstreams};
 use ivyweir_policy::gateway::work::Estimate;
 use ivyweir_policy::rank::{hash64, mix};
 use rand::rngs::StdRng;
@@ -59,7 +59,7 @@
     }
 }
 
-fn choose(upstreams: &mut Upstreams, ask: &Ask, tried: &[Name]) -> Result<Choice, Unplaced> {
+fn choose(upstreams: &mut Upstreams, ask: &Ask, tried: &[Name]) -> Result<Choice, ChooseError> {
     let pool = Name::from("engines");
     let scope = Scope {
         pool: &pool,
@@ -159,7 +159,7 @@
     let busy = (0..1_000)
         .filter(|n| *n != 77)
         .map(|n| (record(n).id, 5_000.0));
-    upstreams.take_others_work(busy.collect(), 900);
+    upstreams.set_peer_work(busy.collect(), 900);
     let drawn = (0..2_000).filter(|&n| chosen(&mut upstreams, &ask(None, n)) == idle);
     // Four of a thousand are weighed of those that a request draws, more than that where fewer can be.
     assert!(drawn.count() >= 2);
--- a/crates/ivyweir-policy/tests/gateway_limit.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::gateway::limit::LimitChange;
 use ivyweir_policy::gateway::owners::{Owners, Sharing};
 use ivyweir_policy::gateway::statement::{DeclaredLimit, Source, Statement};
-use ivyweir_policy::gateway::upstreams::{SendRules, Upstreams, Withheld};
+use ivyweir_policy::gateway::upstreams::{SendDenied, SendRules, Upstreams};
 
 const MAX_BACKOFF_MS: u64 = 60_000;
 
@@ -104,7 +104,7 @@
         }
     };
     upstreams
-        .hear(&id(), &statement, MAX_BACKOFF_MS, now_ms)
+        .apply_statement(&id(), &statement, MAX_BACKOFF_MS, now_ms)
         .limit
 }
 
@@ -222,16 +222,19 @@
 #[test]
 fn what_was_named_is_told_on_for_a_while_and_comes_back_as_nothing_new() {
     let mut upstreams = one_upstream();
-    assert!(upstreams.limits(0).is_empty());
+    assert!(upstreams.recent_limits(0).is_empty());
     hear(&mut upstreams, Heard::Names(1.0, 1_000));
-    let told = upstreams.limits(3_000);
+    let told = upstreams.recent_limits(3_000);
     assert_eq!(told.len(), 1);
     assert_eq!((&*told[0].upstream, told[0].per_1000_s), ("u", Some(1_000)));
     assert!(told[0].age_ms >= 2_000);
     let echo = Heard::Told(1.0, told[0].age_ms, 3_150);
     hear(&mut upstreams, echo);
-    assert_eq!(upstreams.limits(3_150)[0].age_ms, told[0].age_ms + 150);
-    assert!(upstreams.limits(11_500).is_empty());
+    assert_eq!(
+        upstreams.recent_limits(3_150)[0].age_ms,
+        told[0].age_ms + 150
+    );
+    assert!(upstreams.recent_limits(11_500).is_empty());
 }
 
 #[test]
@@ -243,9 +246,9 @@
             limit,
             ..Statement::new(Source::Answer)
         };
-        upstreams.hear(&format!("u-{n}").into(), &statement, MAX_BACKOFF_MS, n);
+        upstreams.apply_statement(&format!("u-{n}").into(), &statement, MAX_BACKOFF_MS, n);
     }
-    let told = upstreams.limits(1_000);
+    let told = upstreams.recent_limits(1_000);
     assert_eq!(told.len(), 128);
     assert_eq!(&*told[0].upstream, "u-999");
 }
@@ -257,7 +260,7 @@
     let rules = SendRules::default();
     assert!(send_all(&mut upstreams, &rules, 0, 10_000).is_empty());
     let held = upstreams.begin_send(&id(), &rules, 10_000);
-    assert_eq!(held, Err(Withheld::Limited { for_ms: 200 }));
+    assert_eq!(held, Err(SendDenied::Limited { for_ms: 200 }));
 }
 
 #[test]
--- a/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
@@ -90,7 +90,8 @@
 
     fn hear(&mut self, statement: &Statement, now_ms: u64) {
         let id: Name = "u".into();
-        self.upstreams.hear(&id, statement, MAX_BACKOFF_MS, now_ms);
+        self.upstreams
+            .apply_statement(&id, statement, MAX_BACKOFF_MS, now_ms);
     }
 
     /// Sends a request if it may go now.
@@ -119,10 +120,10 @@
         return;
     };
     for &n in others {
-        let told = owns[n].upstreams.limits(now_ms);
+        let told = owns[n].upstreams.recent_limits(now_ms);
         take(&mut owns[relay], &told, now_ms);
     }
-    let told = owns[relay].upstreams.limits(now_ms);
+    let told = owns[relay].upstreams.recent_limits(now_ms);
     for &n in others {
         take(&mut owns[n], &told, now_ms);
     }
--- a/crates/ivyweir-policy/tests/gateway_rollout_load.rs
+++ b/crates/ivyweir-policy/tests/gateway_rollout_load.rs
@@ -7,7 +7,7 @@
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::place::Ask;
 use ivyweir_policy::gateway::rollout::{RolloutState, Side};
-use ivyweir_policy::gateway::upstreams::{Scope, SendRules, Target, Upstreams};
+use ivyweir_policy::gateway::upstreams::{RolloutTarget, Scope, SendRules, Upstreams};
 use ivyweir_policy::rank::mix;
 
 /// Upstreams of two versions, 20 of the old and 20 of the new one.
@@ -31,13 +31,13 @@
             upstreams.fleet().put(record, 0);
         }
     }
-    upstreams.settle(&"writers".into(), &"v1".into());
+    upstreams.set_default_version(&"writers".into(), &"v1".into());
     upstreams
 }
 
 /// Upstreams that requests of the new side reach while the version has this share, `tried` having been tried.
 fn reached(upstreams: &mut Upstreams, share: f64, tried: &[Name]) -> BTreeSet<Name> {
-    let target = Target {
+    let target = RolloutTarget {
         version: "v2".into(),
         state: RolloutState::Running { elapsed_ms: 0 },
         share,
--- a/crates/ivyweir-policy/tests/gateway_statements.rs
+++ b/crates/ivyweir-policy/tests/gateway_statements.rs
@@ -7,7 +7,7 @@
 use ivyweir_policy::gateway::fleet::{FleetChange, UpstreamRecord};
 use ivyweir_policy::gateway::place::Ask;
 use ivyweir_policy::gateway::statement::{RetryAfter, Source, Statement};
-use ivyweir_policy::gateway::upstreams::{Scope, SendRules, Unplaced, Upstreams, Withheld};
+use ivyweir_policy::gateway::upstreams::{ChooseError, Scope, SendDenied, SendRules, Upstreams};
 use ivyweir_policy::gateway::wait::{BlockedRequest, Queue, spread_retry_after_ms};
 use ivyweir_policy::rank::mix;
 
@@ -77,10 +77,12 @@
         Heard::Gone => drop(upstreams.fleet().mark_lapsed("u", 0)),
         Heard::Listed(born) => drop(upstreams.fleet().replace_all(vec![record("u", born)], 0)),
         Heard::Unlisted => drop(upstreams.fleet().replace_all(Vec::new(), 0)),
-        Heard::Answer(born) => drop(upstreams.hear(&id(born), &says_leaving(), MAX_BACKOFF_MS, 0)),
+        Heard::Answer(born) => {
+            drop(upstreams.apply_statement(&id(born), &says_leaving(), MAX_BACKOFF_MS, 0))
+        }
         Heard::Silent(born) => {
             let statement = Statement::new(Source::Answer);
-            upstreams.hear(&id(born), &statement, MAX_BACKOFF_MS, 0);
+            upstreams.apply_statement(&id(born), &statement, MAX_BACKOFF_MS, 0);
         }
     }
 }
@@ -130,28 +132,32 @@
         upstreams.fleet().put(record("u", 5), 0);
     }
     let id = UpstreamRecord::incarnation_id("u", 5);
-    first.hear(&id, &says_leaving(), MAX_BACKOFF_MS, 0);
-    let told = first.departures(100);
+    first.apply_statement(&id, &says_leaving(), MAX_BACKOFF_MS, 0);
+    let told = first.recent_departures(100);
     assert_eq!(told, std::slice::from_ref(&id));
     let by_peer = Statement {
         source: Source::Peer,
         ..says_leaving()
     };
     assert_eq!(
-        second.hear(&id, &by_peer, MAX_BACKOFF_MS, 100).fleet,
+        second
+            .apply_statement(&id, &by_peer, MAX_BACKOFF_MS, 100)
+            .fleet,
         FleetChange::Leaving
     );
     assert_eq!(
-        second.hear(&id, &by_peer, MAX_BACKOFF_MS, 200).fleet,
+        second
+            .apply_statement(&id, &by_peer, MAX_BACKOFF_MS, 200)
+            .fleet,
         FleetChange::Nothing
     );
     assert_eq!(
         second.may_send(&id, &SendRules::default(), 200),
-        Err(Withheld::Gone)
+        Err(SendDenied::Gone)
     );
     // It tells it on for as long as if it had heard it itself, and no longer.
-    assert_eq!(second.departures(10_000), [id]);
-    assert!(second.departures(10_100).is_empty());
+    assert_eq!(second.recent_departures(10_000), [id]);
+    assert!(second.recent_departures(10_100).is_empty());
 }
 
 #[test]
@@ -160,7 +166,7 @@
     hear(&mut upstreams, &Heard::Ready(5));
     hear(&mut upstreams, &Heard::Leaving(5));
     hear(&mut upstreams, &Heard::Answer(5));
-    assert!(upstreams.departures(0).is_empty());
+    assert!(upstreams.recent_departures(0).is_empty());
 }
 
 #[test]
@@ -168,9 +174,9 @@
     let mut upstreams = Upstreams::default();
     for n in 0..5_000 {
         let id = UpstreamRecord::incarnation_id(&format!("u{n}"), 1);
-        upstreams.hear(&id, &says_leaving(), MAX_BACKOFF_MS, n);
+        upstreams.apply_statement(&id, &says_leaving(), MAX_BACKOFF_MS, n);
     }
-    let told = upstreams.departures(5_000);
+    let told = upstreams.recent_departures(5_000);
     assert_eq!(told.len(), 256);
     assert_eq!(told.last(), Some(&"u4999@1".into()));
 }
@@ -181,7 +187,7 @@
     for name in ["u", "uu"] {
         upstreams.fleet().put(record(name, 1), 0);
     }
-    upstreams.hear(
+    upstreams.apply_statement(
         &"u@1".into(),
         &says_retry_after(retry_after),
         MAX_BACKOFF_MS,
@@ -193,7 +199,7 @@
 fn backoff_ms(upstreams: &mut Upstreams, now_ms: u64) -> u64 {
     match upstreams.may_send(&"u@1".into(), &SendRules::default(), now_ms) {
         Ok(()) => 0,
-        Err(Withheld::Backoff { for_ms }) => for_ms,
+        Err(SendDenied::Backoff { for_ms }) => for_ms,
         Err(other) => panic!("{other:?}"),
     }
 }
@@ -222,7 +228,7 @@
 fn a_shorter_time_said_later_does_not_end_a_longer_one() {
     let mut upstreams = one_backing_off(RetryAfter::ForMs(5_000));
     let short = says_retry_after(RetryAfter::ForMs(10));
-    upstreams.hear(&"u@1".into(), &short, MAX_BACKOFF_MS, 100);
+    upstreams.apply_statement(&"u@1".into(), &short, MAX_BACKOFF_MS, 100);
     assert!(backoff_ms(&mut upstreams, 4_999) > 0);
 }
 
@@ -257,7 +263,7 @@
     }
 }
 
-fn choose(upstreams: &mut Upstreams, tried: &[Name], now_ms: u64) -> Result<Name, Unplaced> {
+fn choose(upstreams: &mut Upstreams, tried: &[Name], now_ms: u64) -> Result<Name, ChooseError> {
     let scope = Scope {
         pool: &"p".into(),
         side: None,
@@ -277,7 +283,7 @@
     let tried = ["uu@1".into()];
     let refused = choose(&mut upstreams, &tried, 100);
     assert!(
-        matches!(refused, Err(Unplaced::AllBackingOff { .. })),
+        matches!(refused, Err(ChooseError::AllBackingOff { .. })),
         "{refused:?}"
     );
 }
@@ -286,8 +292,8 @@
 fn where_all_want_nothing_the_shortest_time_is_told() {
     let mut upstreams = one_backing_off(RetryAfter::ForMs(5_000));
     let shorter = says_retry_after(RetryAfter::ForMs(400));
-    upstreams.hear(&"uu@1".into(), &shorter, MAX_BACKOFF_MS, 0);
-    let Err(Unplaced::AllBackingOff { for_ms }) = choose(&mut upstreams, &[], 0) else {
+    upstreams.apply_statement(&"uu@1".into(), &shorter, MAX_BACKOFF_MS, 0);
+    let Err(ChooseError::AllBackingOff { for_ms }) = choose(&mut upstreams, &[], 0) else {
         panic!("nothing is to be chosen");
     };
     assert!((400..=500).contains(&for_ms), "{for_ms} ms");
