--- a/crates/ivyweir-policy/src/gateway/fleet.rs
+++ b/crates/ivyweir-policy/src/gateway/fleet.rs
@@ -308,8 +308,8 @@
         std::mem::take(&mut self.replaced)
     }
 
-    /// Assumes the upstreams of a hall to be cold until `until_ms`, regardless of their records: they may have become cold
-    /// since the records were written.
+    /// Assumes the upstreams of a hall to be cold until `until_ms`, regardless of their records: they may have become
+    /// cold since the records were written.
     pub fn assume_cold(&mut self, hall: &str, until_ms: impl Fn(&UpstreamRecord) -> u64) {
         let in_hall = self.members.values_mut();
         for member in in_hall.filter(|m| &*m.record.hall == hall) {
--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -269,8 +269,8 @@
         self.fleet.member(id).is_some()
     }
 
-    /// Number of requests that the usable upstreams accept from this box up to `until_ms`; the slots of each are divided
-    /// among `boxes`.
+    /// Number of requests that the usable upstreams accept from this box up to `until_ms`; the slots of each are
+    /// divided among `boxes`.
     pub fn capacity_by(
         &mut self,
         scope: &Scope,
--- a/crates/ivyweir-policy/src/gateway/upstreams/admission.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/admission.rs
@@ -12,8 +12,8 @@
     ///
     /// # Errors
     ///
-    /// If the upstream has left, its hall is drained, it backs off from this box, or this box's share of its limit or of
-    /// its cold rate is used up.
+    /// If the upstream has left, its hall is drained, it backs off from this box, or this box's share of its limit or
+    /// of its cold rate is used up.
     pub fn may_send(
         &mut self,
         id: &Name,
--- a/crates/ivyweir-policy/src/gateway/upstreams/statements.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/statements.rs
@@ -7,8 +7,8 @@
 use crate::gateway::statement::{DeclaredLimit, RetryAfter, Statement};
 use crate::rank::mix;
 
-/// Maximum number of limits in a message. The latest take precedence, and an upstream that receives requests declares its
-/// limit repeatedly.
+/// Maximum number of limits in a message. The latest take precedence, and an upstream that receives requests declares
+/// its limit repeatedly.
 const MAX_SENT_LIMITS: usize = 128;
 
 /// Changes caused by a statement.
@@ -21,8 +21,8 @@
 }
 
 impl Upstreams {
-    /// Applies a statement of an upstream; `max_backoff_ms` bounds its back-off. An incarnation that leaves is removed for
-    /// good, even if a later record or list contains it.
+    /// Applies a statement of an upstream; `max_backoff_ms` bounds its back-off. An incarnation that leaves is
+    /// removed for good, even if a later record or list contains it.
     pub fn apply_statement(
         &mut self,
         id: &Name,
--- a/crates/ivyweir-policy/src/gateway/upstreams/versions.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/versions.rs
@@ -77,16 +77,17 @@
     }
 }
 
-/// Minimum number of a new version's upstreams that serve while its share is small. A version is found bad by bad answers
-/// of two upstreams, and boxes prefer upstreams of their own hall: with two upstreams in all, a version that became bad
-/// was not rolled back in 2 of 4 simulated days with four plain services; with all four upstreams, in none.
+/// Minimum number of a new version's upstreams that serve while its share is small. A version is found bad by bad
+/// answers of two upstreams, and boxes prefer upstreams of their own hall: with two upstreams in all, a version that
+/// became bad was not rolled back in 2 of 4 simulated days with four plain services; with all four upstreams, in
+/// none.
 const MIN_NEW_UPSTREAMS: usize = 4;
 
-/// Selects the new version's upstreams that serve its share, so that each has about the load of one of the `old` ones: a
-/// fault that only occurs under load should show while few requests are exposed to it. With 12.5 % of the requests spread
-/// over all new upstreams, each had an eighth of the load: of a version that fails only under load, none of 273 answers
-/// had failed when all traffic moved to it, and it got 3,638 requests before the roll-back (84 boxes, one day). With this
-/// selection, the version is rolled back in time on the same day.
+/// Selects the new version's upstreams that serve its share, so that each has about the load of one of the `old`
+/// ones: a fault that only occurs under load should show while few requests are exposed to it. With 12.5 % of the
+/// requests spread over all new upstreams, each had an eighth of the load: of a version that fails only under load,
+/// none of 273 answers had failed when all traffic moved to it, and it got 3,638 requests before the roll-back (84
+/// boxes, one day). With this selection, the version is rolled back in time on the same day.
 ///
 /// All boxes select the same upstreams; those that a request already tried are replaced by the next ones.
 fn select_new_upstreams(
--- a/crates/ivyweir-policy/src/gateway/wait.rs
+++ b/crates/ivyweir-policy/src/gateway/wait.rs
@@ -39,9 +39,9 @@
     /// Whether the request should wait; otherwise it is refused at once. `capacity_within` returns how many of this
     /// box's requests the upstreams accept within a time.
     ///
-    /// The request waits if its answer can still be in time. If it cannot, a caller that would honour the retry time is
-    /// better served by a refusal, since other boxes may have other back-off times. If the caller would retry too early,
-    /// the request waits as long as it can be served before its deadline.
+    /// The request waits if its answer can still be in time. If it cannot, a caller that would honour the retry time
+    /// is better served by a refusal, since other boxes may have other back-off times. If the caller would retry too
+    /// early, the request waits as long as it can be served before its deadline.
     pub fn should_wait(&self, capacity_within: impl Fn(u64) -> u32) -> bool {
         let fits = |limit_ms: u64| {
             let within_ms = limit_ms.saturating_sub(self.prefill_ms);
--- a/crates/ivyweir-policy/src/gateway/work.rs
+++ b/crates/ivyweir-policy/src/gateway/work.rs
@@ -45,8 +45,8 @@
 const MAX_RANK: u8 = 9;
 
 impl Estimate {
-    /// Priority at the engine, 0 first; the rank rises by one each time the prefill time doubles. Long prompts therefore
-    /// delay few other requests, and short ones are delayed by few.
+    /// Priority at the engine, 0 first; the rank rises by one each time the prefill time doubles. Long prompts
+    /// therefore delay few other requests, and short ones are delayed by few.
     pub fn rank(&self) -> u8 {
         let doublings = self.prefill_ms.max(1.0).log2();
         (doublings as u8).min(MAX_RANK)
--- a/crates/ivyweir-policy/tests/gateway_statements.rs
+++ b/crates/ivyweir-policy/tests/gateway_statements.rs
@@ -78,7 +78,7 @@
         Heard::Listed(born) => drop(upstreams.fleet().replace_all(vec![record("u", born)], 0)),
         Heard::Unlisted => drop(upstreams.fleet().replace_all(Vec::new(), 0)),
         Heard::Answer(born) => {
-            drop(upstreams.apply_statement(&id(born), &says_leaving(), MAX_BACKOFF_MS, 0))
+            upstreams.apply_statement(&id(born), &says_leaving(), MAX_BACKOFF_MS, 0);
         }
         Heard::Silent(born) => {
             let statement = Statement::new(Source::Answer);
