--- a/crates/ivyweir-gateway/src/state/sending.rs
+++ b/crates/ivyweir-gateway/src/state/sending.rs
@@ -2,16 +2,16 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
-use ivyweir_policy::gateway::pace::ReadingPace;
+use ivyweir_policy::gateway::pace::PrefillPace;
 use ivyweir_policy::gateway::placement::PlacementRequest;
 use ivyweir_policy::gateway::quarantine::Fingerprint;
-use ivyweir_policy::gateway::quota::{self, QuotaShare};
-use ivyweir_policy::gateway::upstreams::{Choice, Scope, SendRules, Unplaced, Withheld};
+use ivyweir_policy::gateway::quota::{QuotaShare, self};
+use ivyweir_policy::gateway::upstreams::{Choice, ChooseError, Scope, SendDenied, SendRules};
 use ivyweir_policy::gateway::work::Estimate;
 use serde_json::json;
 
-use super::{Gateway, lock};
 use crate::job::Job;
+use super::{Gateway, lock};
 
 impl Gateway {
     /// Halls that are drained.
@@ -41,7 +41,7 @@
     }
 
     /// Works on what is known of a pool's pace.
-    pub fn with_pace<T>(&self, pool: &Name, work: impl FnOnce(&mut ReadingPace) -> T) -> T {
+    pub fn with_pace<T>(&self, pool: &Name, work: impl FnOnce(&mut PrefillPace) -> T) -> T {
         work(lock(&self.paces).entry(pool.clone()).or_default())
     }
 
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// When none may take the request now.
-    pub fn choose(&self, scope: &Scope, ask: &PlacementRequest) -> Result<Choice, Unplaced> {
+    pub fn choose(&self, scope: &Scope, ask: &PlacementRequest) -> Result<Choice, ChooseError> {
         let now_ms = self.clock.now_ms();
         let rules = self.send_rules(scope.pool, now_ms);
         let mut upstreams = lock(&self.upstreams);
@@ -74,9 +74,9 @@
         &self,
         upstream: &UpstreamRecord,
         fingerprint: Fingerprint,
-    ) -> Result<(), Withheld> {
+    ) -> Result<(), SendDenied> {
         if self.is_quarantined(fingerprint) {
-            return Err(Withheld::Quarantined);
+            return Err(SendDenied::Quarantined);
         }
         let now_ms = self.clock.now_ms();
         let rules = self.send_rules(&upstream.pool, now_ms);
--- a/crates/ivyweir-gateway/src/state/statements.rs
+++ b/crates/ivyweir-gateway/src/state/statements.rs
@@ -3,7 +3,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::FleetChange;
 use ivyweir_policy::gateway::rate_limit::{LimitChange, LimitUpdate};
-use ivyweir_policy::gateway::statement::{NamedLimit, Source, Statement};
+use ivyweir_policy::gateway::statement::{DeclaredLimit, Source, Statement};
 use serde_json::json;
 
 use super::{Gateway, lock};
@@ -13,7 +13,7 @@
     pub fn hear(&self, id: &Name, statement: &Statement) {
         let now_ms = self.clock.now_ms();
         let max_backoff_ms = self.settings.policy.max_backoff_ms;
-        let heard = lock(&self.upstreams).hear(id, statement, max_backoff_ms, now_ms);
+        let heard = lock(&self.upstreams).apply_statement(id, statement, max_backoff_ms, now_ms);
         if heard.fleet != FleetChange::Nothing {
             self.log_change(id, heard.fleet, statement.source);
         }
@@ -33,7 +33,7 @@
             // A limit that moves is told by each box that the upstream itself told: as many lines as answers.
             LimitChange::Changed(_) if source == Source::Peer => return,
             LimitChange::Started(per_1000_s) | LimitChange::Changed(per_1000_s) => {
-                NamedLimit::Per1000S(per_1000_s).per_s()
+                DeclaredLimit::Per1000S(per_1000_s).requests_per_s()
             }
             LimitChange::Ended => None,
         };
@@ -64,7 +64,7 @@
     /// Upstreams that this box heard to leave lately, other than by the registry.
     pub fn departures(&self) -> Vec<Name> {
         let now_ms = self.clock.now_ms();
-        lock(&self.upstreams).departures(now_ms)
+        lock(&self.upstreams).recent_departures(now_ms)
     }
 
     /// Takes in what other boxes know of upstreams' limits.
@@ -77,7 +77,7 @@
     /// What other boxes are to know of upstreams' limits.
     pub fn limits(&self) -> Vec<LimitUpdate> {
         let now_ms = self.clock.now_ms();
-        lock(&self.upstreams).limits(now_ms)
+        lock(&self.upstreams).recent_limits(now_ms)
     }
 
     /// Waits until there is something that other boxes must know at once.
@@ -88,7 +88,7 @@
     /// Takes in that another incarnation answers at an upstream's address: this one has left.
     pub fn upstream_left(&self, id: &Name) {
         self.change_upstream(Source::OtherIncarnation, |fleet, _| {
-            vec![(id.clone(), fleet.leave(id))]
+            vec![(id.clone(), fleet.mark_left(id))]
         });
     }
 }
--- a/crates/ivyweir-policy/src/gateway/canary.rs
+++ b/crates/ivyweir-policy/src/gateway/canary.rs
@@ -11,7 +11,7 @@
 
 use crate::Name;
 use crate::gateway::rollout::Side;
-use crate::gateway::slowness::{OldAnswers, Timed};
+use crate::gateway::slowness::{OldVersionPace, TimedAnswer};
 
 pub use crate::gateway::slowness::Span;
 
@@ -182,7 +182,7 @@
 pub struct CanaryAnalysis {
     own: BTreeMap<Group, VersionCounts>,
     others: Tally,
-    old: OldAnswers,
+    old: OldVersionPace,
 }
 
 impl CanaryAnalysis {
@@ -252,13 +252,13 @@
 }
 
 /// Converts an answer for the comparison of paces.
-fn timed(side: Side, sample: &AnswerSample, pace_ms: f64) -> Timed {
-    Timed {
+fn timed(side: Side, sample: &AnswerSample, pace_ms: f64) -> TimedAnswer {
+    TimedAnswer {
         pace_ms,
         span: sample.span,
         lane: sample.lane,
         running: sample.running,
-        is_old: side == Side::Old,
+        is_old_version: side == Side::Old,
     }
 }
 
--- a/crates/ivyweir-policy/src/gateway/rate_limit.rs
+++ b/crates/ivyweir-policy/src/gateway/rate_limit.rs
@@ -16,7 +16,7 @@
 
 use crate::Name;
 use crate::gateway::quota::QuotaShare;
-use crate::gateway::statement::{NamedLimit, Source, Statement};
+use crate::gateway::statement::{DeclaredLimit, Source, Statement};
 
 /// Lowest limit that is enforced. An upstream that receives no requests could not announce a higher
 /// limit.
@@ -57,9 +57,9 @@
 impl LimitUpdate {
     /// Converts the forwarded limit to a statement about the upstream.
     pub fn statement(&self) -> Statement {
-        let limit = self.per_1000_s.map(NamedLimit::Per1000S);
+        let limit = self.per_1000_s.map(DeclaredLimit::Per1000S);
         Statement {
-            limit: Some(limit.unwrap_or(NamedLimit::Ended)),
+            limit: Some(limit.unwrap_or(DeclaredLimit::Ended)),
             age_ms: self.age_ms,
             ..Statement::new(Source::Peer)
         }
--- a/crates/ivyweir-policy/tests/gateway_decisions.rs
+++ b/crates/ivyweir-policy/tests/gateway_decisions.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, Doubt, escalate};
+use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, EscalationInput, escalate};
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange, UpstreamRecord};
 use ivyweir_policy::gateway::placement::{Candidate, PlacementRequest, UpstreamLoad, choose};
 use ivyweir_policy::gateway::proof::Proof;
@@ -151,11 +151,11 @@
     let mut fleet = Fleet::default();
     fleet.put(record("u1", "a"), 0);
     fleet.put(record("u2", "a"), 0);
-    fleet.lapse("u1", 100);
+    fleet.mark_lapsed("u1", 100);
     assert_eq!(usable(&fleet), ["u2".into()]);
-    fleet.lapse("u2", 200);
+    fleet.mark_lapsed("u2", 200);
     assert_eq!(usable(&fleet), ["u1".into(), "u2".into()]);
-    fleet.forget_lapsed(1_000, 1_150);
+    fleet.expire_lapsed(1_000, 1_150);
     assert_eq!(usable(&fleet), ["u2".into()]);
     assert_eq!(fleet.put(record("u2", "a"), 0), FleetChange::Returned);
 }
@@ -164,7 +164,7 @@
 fn a_listing_lapses_what_it_lacks() {
     let mut fleet = Fleet::default();
     fleet.put(record("u1", "a"), 0);
-    let changes = fleet.replace(vec![record("u2", "a"), leaving("u3")], 5);
+    let changes = fleet.replace_all(vec![record("u2", "a"), leaving("u3")], 5);
     let expected = [
         ("u1".into(), FleetChange::Lapsed),
         ("u2".into(), FleetChange::Joined),
@@ -183,8 +183,8 @@
 
 const LONG: Tokens = Tokens {
     shared: 5_000,
-    own: 6_000,
-    out: 300,
+    unique: 6_000,
+    output: 300,
 };
 
 fn ask(prefix: Option<u64>, tokens: Option<Tokens>, seed: u64) -> PlacementRequest<'static> {
@@ -269,13 +269,13 @@
     ($($name:ident: $confidence:expr, from $model:expr, wait $wait_ms:expr => $larger:expr;)*) => {$(
         #[test]
         fn $name() {
-            let doubt = Doubt {
+            let doubt = EscalationInput {
                 confidence: $confidence,
                 model: $model,
                 models: 3,
                 floor: CONFIDENCE_FLOOR,
                 wait_ms: $wait_ms,
-                left_ms: 4_000.0,
+                remaining_ms: 4_000.0,
             };
             assert_eq!(escalate(&doubt), $larger);
         }
@@ -296,13 +296,13 @@
 
 #[test]
 fn an_answer_that_is_late_already_is_not_asked_again() {
-    let doubt = Doubt {
+    let doubt = EscalationInput {
         confidence: Some(0),
         model: 0,
         models: 3,
         floor: CONFIDENCE_FLOOR,
         wait_ms: 0.0,
-        left_ms: 0.0,
+        remaining_ms: 0.0,
     };
     assert_eq!(escalate(&doubt), None);
 }
@@ -377,8 +377,8 @@
 fn long_prompts_and_large_models_rank_behind() {
     let short = Tokens {
         shared: 100,
-        own: 600,
-        out: 100,
+        unique: 600,
+        output: 100,
     };
     let rank = |tokens, model| estimate(Some(tokens), MS_PER_TOKEN[model]).rank();
     assert!(rank(short, 0) < rank(LONG, 0));
@@ -453,8 +453,8 @@
     let mut fleet = Fleet::default();
     fleet.put(started(5), 0);
     fleet.put(started(9), 0);
-    assert_eq!(fleet.lapse("u", 10), FleetChange::Lapsed);
-    fleet.forget_lapsed(0, 10);
+    assert_eq!(fleet.mark_lapsed("u", 10), FleetChange::Lapsed);
+    fleet.expire_lapsed(0, 10);
     assert!(usable(&fleet).is_empty());
     // Forgotten, it is still the earlier one of the next.
     fleet.put(started(12), 20);
@@ -479,9 +479,9 @@
     // Written anew it is still the first one there.
     fleet.put(record("own", "a"), 5);
     assert_eq!(usable(&fleet), ["own".into()]);
-    fleet.lapse("own", 10);
+    fleet.mark_lapsed("own", 10);
     assert_eq!(usable(&fleet), ["foreign".into()]);
-    fleet.leave(&"foreign".into());
+    fleet.mark_left(&"foreign".into());
     assert_eq!(usable(&fleet), ["next".into()]);
     fleet.put(record("next", "a"), 20);
     fleet.put(record("own", "a"), 20);
--- a/crates/ivyweir-policy/tests/gateway_large_pools.rs
+++ b/crates/ivyweir-policy/tests/gateway_large_pools.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange, UpstreamRecord};
 use ivyweir_policy::gateway::placement::PlacementRequest;
-use ivyweir_policy::gateway::upstreams::{Choice, Scope, SendRules, Unplaced, Upstreams};
+use ivyweir_policy::gateway::upstreams::{Choice, ChooseError, Scope, SendRules, Upstreams};
 use ivyweir_policy::gateway::work::Estimate;
 use ivyweir_policy::hash::{hash64, mix};
 use rand::rngs::StdRng;
@@ -47,8 +47,8 @@
     PlacementRequest {
         prefix: prefix.map(|prefix| mix(prefix, 7)),
         engine: Some(Estimate {
-            read_ms: 50.0,
-            write_ms: 20.0,
+            prefill_ms: 50.0,
+            decode_ms: 20.0,
             saved_ms: 40.0,
         }),
         hall: "a",
@@ -63,7 +63,7 @@
     upstreams: &mut Upstreams,
     ask: &PlacementRequest,
     tried: &[Name],
-) -> Result<Choice, Unplaced> {
+) -> Result<Choice, ChooseError> {
     let pool = Name::from("engines");
     let scope = Scope {
         pool: &pool,
@@ -163,7 +163,7 @@
     let busy = (0..1_000)
         .filter(|n| *n != 77)
         .map(|n| (record(n).id, 5_000.0));
-    upstreams.take_others_work(busy.collect(), 900);
+    upstreams.set_peer_work(busy.collect(), 900);
     let drawn = (0..2_000).filter(|&n| chosen(&mut upstreams, &ask(None, n)) == idle);
     // Four of a thousand are weighed of those that a request draws, more than that where fewer can be.
     assert!(drawn.count() >= 2);
@@ -189,7 +189,7 @@
         .map(|n| chosen(&mut upstreams, &ask(Some(n), n)))
         .collect();
     for id in &first {
-        upstreams.fleet().leave(id);
+        upstreams.fleet().mark_left(id);
     }
     for n in 0..300 {
         assert!(!first.contains(&chosen(&mut upstreams, &ask(Some(n), n))));
@@ -227,15 +227,15 @@
             let id = record(n).id;
             match rng.random_range(0..10) {
                 0 => {
-                    fleet.lapse(&id, now_ms);
+                    fleet.mark_lapsed(&id, now_ms);
                     standing.remove(&id);
                 }
                 1 if now_ms > 250 => {
-                    fleet.leave(&id);
+                    fleet.mark_left(&id);
                     standing.remove(&id);
                 }
                 2 => {
-                    fleet.forget_lapsed(20, now_ms);
+                    fleet.expire_lapsed(20, now_ms);
                 }
                 _ => {
                     let named = UpstreamRecord {
--- a/crates/ivyweir-policy/tests/gateway_limit.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit.rs
@@ -7,8 +7,8 @@
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::quota::{QuotaOwners, QuotaShare};
 use ivyweir_policy::gateway::rate_limit::LimitChange;
-use ivyweir_policy::gateway::statement::{NamedLimit, Source, Statement};
-use ivyweir_policy::gateway::upstreams::{SendRules, Upstreams, Withheld};
+use ivyweir_policy::gateway::statement::{DeclaredLimit, Source, Statement};
+use ivyweir_policy::gateway::upstreams::{SendDenied, SendRules, Upstreams};
 
 const MAX_BACKOFF_MS: u64 = 60_000;
 
@@ -59,8 +59,8 @@
     ToldEnd(u64, u64),
 }
 
-fn per_1000_s(per_s: f64) -> NamedLimit {
-    NamedLimit::Per1000S((per_s * 1_000.0) as u32)
+fn per_1000_s(per_s: f64) -> DeclaredLimit {
+    DeclaredLimit::Per1000S((per_s * 1_000.0) as u32)
 }
 
 fn hear(upstreams: &mut Upstreams, heard: Heard) -> Option<LimitChange> {
@@ -74,14 +74,14 @@
         Heard::NamesNone(after_ms, now_ms) => {
             let answered_after_ms = Some(after_ms);
             let statement = Statement {
-                answered_after_ms,
+                response_time_ms: answered_after_ms,
                 ..answer
             };
             (statement, now_ms)
         }
         Heard::Doubtful(now_ms) => (answer, now_ms),
         Heard::Garbage(now_ms) => {
-            let limit = Some(NamedLimit::Unreadable);
+            let limit = Some(DeclaredLimit::Unreadable);
             (Statement { limit, ..answer }, now_ms)
         }
         Heard::Told(per_s, age_ms, now_ms) => {
@@ -94,7 +94,7 @@
             (statement, now_ms)
         }
         Heard::ToldEnd(age_ms, now_ms) => {
-            let limit = Some(NamedLimit::Ended);
+            let limit = Some(DeclaredLimit::Ended);
             let statement = Statement {
                 limit,
                 age_ms,
@@ -104,7 +104,7 @@
         }
     };
     upstreams
-        .hear(&id(), &statement, MAX_BACKOFF_MS, now_ms)
+        .apply_statement(&id(), &statement, MAX_BACKOFF_MS, now_ms)
         .limit
 }
 
@@ -222,30 +222,33 @@
 #[test]
 fn what_was_named_is_told_on_for_a_while_and_comes_back_as_nothing_new() {
     let mut upstreams = one_upstream();
-    assert!(upstreams.limits(0).is_empty());
+    assert!(upstreams.recent_limits(0).is_empty());
     hear(&mut upstreams, Heard::Names(1.0, 1_000));
-    let told = upstreams.limits(3_000);
+    let told = upstreams.recent_limits(3_000);
     assert_eq!(told.len(), 1);
     assert_eq!((&*told[0].upstream, told[0].per_1000_s), ("u", Some(1_000)));
     assert!(told[0].age_ms >= 2_000);
     let echo = Heard::Told(1.0, told[0].age_ms, 3_150);
     hear(&mut upstreams, echo);
-    assert_eq!(upstreams.limits(3_150)[0].age_ms, told[0].age_ms + 150);
-    assert!(upstreams.limits(11_500).is_empty());
+    assert_eq!(
+        upstreams.recent_limits(3_150)[0].age_ms,
+        told[0].age_ms + 150
+    );
+    assert!(upstreams.recent_limits(11_500).is_empty());
 }
 
 #[test]
 fn a_thousand_limits_are_told_a_few_at_a_time_and_the_latest_first() {
     let mut upstreams = Upstreams::new(7);
-    let limit = Some(NamedLimit::Per1000S(1_000));
+    let limit = Some(DeclaredLimit::Per1000S(1_000));
     for n in 0..1_000 {
         let statement = Statement {
             limit,
             ..Statement::new(Source::Answer)
         };
-        upstreams.hear(&format!("u-{n}").into(), &statement, MAX_BACKOFF_MS, n);
+        upstreams.apply_statement(&format!("u-{n}").into(), &statement, MAX_BACKOFF_MS, n);
     }
-    let told = upstreams.limits(1_000);
+    let told = upstreams.recent_limits(1_000);
     assert_eq!(told.len(), 128);
     assert_eq!(&*told[0].upstream, "u-999");
 }
@@ -257,7 +260,7 @@
     let rules = SendRules::default();
     assert!(send_all(&mut upstreams, &rules, 0, 10_000).is_empty());
     let held = upstreams.begin_send(&id(), &rules, 10_000);
-    assert_eq!(held, Err(Withheld::Limited { for_ms: 200 }));
+    assert_eq!(held, Err(SendDenied::Limited { for_ms: 200 }));
 }
 
 #[test]
--- a/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
@@ -6,7 +6,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::rate_limit::LimitUpdate;
-use ivyweir_policy::gateway::statement::{NamedLimit, Source, Statement};
+use ivyweir_policy::gateway::statement::{DeclaredLimit, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{SendRules, Upstreams};
 use ivyweir_standins::edge::{Arrival, LimitPromise};
 use proptest::prelude::*;
@@ -90,7 +90,8 @@
 
     fn hear(&mut self, statement: &Statement, now_ms: u64) {
         let id: Name = "u".into();
-        self.upstreams.hear(&id, statement, MAX_BACKOFF_MS, now_ms);
+        self.upstreams
+            .apply_statement(&id, statement, MAX_BACKOFF_MS, now_ms);
     }
 
     /// Sends a request if it may go now.
@@ -119,10 +120,10 @@
         return;
     };
     for &n in others {
-        let told = owns[n].upstreams.limits(now_ms);
+        let told = owns[n].upstreams.recent_limits(now_ms);
         take(&mut owns[relay], &told, now_ms);
     }
-    let told = owns[relay].upstreams.limits(now_ms);
+    let told = owns[relay].upstreams.recent_limits(now_ms);
     for &n in others {
         take(&mut owns[n], &told, now_ms);
     }
@@ -199,10 +200,10 @@
                 continue;
             }
             let names_per_s = naming.at(now_ms, arrivals.len());
-            let limit = names_per_s.map(|per_s| NamedLimit::Per1000S((per_s * 1_000.0) as u32));
+            let limit = names_per_s.map(|per_s| DeclaredLimit::Per1000S((per_s * 1_000.0) as u32));
             let statement = Statement {
                 limit,
-                answered_after_ms: Some(0),
+                response_time_ms: Some(0),
                 ..Statement::new(Source::Answer)
             };
             if naming.is_heard(now_ms) {
