--- a/crates/ivyweir-gateway/src/state/sending.rs
+++ b/crates/ivyweir-gateway/src/state/sending.rs
@@ -5,13 +5,13 @@
 use ivyweir_policy::gateway::pace::PrefillPace;
 use ivyweir_policy::gateway::placement::PlacementRequest;
 use ivyweir_policy::gateway::quarantine::Fingerprint;
-use ivyweir_policy::gateway::quota::{QuotaShare, self};
+use ivyweir_policy::gateway::quota::{self, QuotaShare};
 use ivyweir_policy::gateway::upstreams::{Choice, ChooseError, Scope, SendDenied, SendRules};
 use ivyweir_policy::gateway::work::Estimate;
 use serde_json::json;
 
-use crate::job::Job;
 use super::{Gateway, lock};
+use crate::job::Job;
 
 impl Gateway {
     /// Halls that are drained.
--- a/crates/ivyweir-policy/src/gateway/upstreams/choice.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/choice.rs
@@ -50,7 +50,10 @@
         let chosen = placement::choose_from_sample(&candidates, partition_len, ask, now_ms)?;
         Some(Choice {
             upstream: records[chosen].clone(),
-            mean_work_ms: placement::mean_work_ms(&candidates[partition_len.unwrap_or(0)..], now_ms),
+            mean_work_ms: placement::mean_work_ms(
+                &candidates[partition_len.unwrap_or(0)..],
+                now_ms,
+            ),
             candidates: candidates.len(),
             load_ms: candidates[chosen].load.load_ms(now_ms),
             prefill_ms: ask.engine.map_or(0.0, |estimate| estimate.prefill_ms),
--- a/crates/ivyweir-policy/src/gateway/upstreams/statements.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/statements.rs
@@ -91,7 +91,8 @@
     /// The latest limits of upstreams, for propagation to other boxes.
     pub fn recent_limits(&self, now_ms: u64) -> Vec<LimitUpdate> {
         let limited = self.limited.iter();
-        let limits = limited.filter_map(|id| self.states.get(id)?.limit.update_for_peers(id, now_ms));
+        let limits =
+            limited.filter_map(|id| self.states.get(id)?.limit.update_for_peers(id, now_ms));
         let mut limits: Vec<LimitUpdate> = limits.collect();
         limits.sort_by(|a, b| (a.age_ms, &a.upstream).cmp(&(b.age_ms, &b.upstream)));
         limits.truncate(MAX_SENT_LIMITS);
