--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -6,7 +6,7 @@
 
 use hyper::{Response, StatusCode};
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::copies::Giver;
+use ivyweir_policy::gateway::copies::CopySource;
 use ivyweir_policy::gateway::revision::Revision;
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
@@ -185,10 +185,10 @@
     let now_ms = gateway.clock.now_ms();
     let copies = &gateway.histories;
     match copies.give_copy(question.topic, &question.from, now_ms) {
-        Giver::Asked => Some(here()),
+        CopySource::Local => Some(here()),
         // A box that is not known here any more gives nothing.
-        Giver::Other(name) => Some(gateway.peers.addr_of(&name).map_or_else(here, Whole::At)),
-        Giver::Later => None,
+        CopySource::Peer(name) => Some(gateway.peers.addr_of(&name).map_or_else(here, Whole::At)),
+        CopySource::Unavailable => None,
     }
 }
 
--- a/crates/ivyweir-gateway/src/history.rs
+++ b/crates/ivyweir-gateway/src/history.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::copies::{Copies, Giver};
-use ivyweir_policy::gateway::hall::Source;
+use ivyweir_policy::gateway::copies::{CopySource, CopyTransfers};
+use ivyweir_policy::gateway::relay::Source;
 use ivyweir_policy::gateway::revision::Revision;
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
@@ -61,7 +61,7 @@
             Source::Store => Self::Store,
             Source::Root(_) => Self::Root,
             Source::Relay(_) => Self::Relay,
-            Source::Nobody => Self::Nobody,
+            Source::Unavailable => Self::Nobody,
         }
     }
 }
@@ -117,7 +117,7 @@
     asked_at_ms: AtomicU64,
     news: watch::Sender<u64>,
     /// Who gives whole copies to whom.
-    copies: Mutex<HashMap<Topic, Copies>>,
+    copies: Mutex<HashMap<Topic, CopyTransfers>>,
 }
 
 impl Histories {
@@ -216,8 +216,11 @@
     }
 
     /// Finds who gives a box its copy of a topic's records.
-    pub fn give_copy(&self, topic: Topic, asker: &Name, now_ms: u64) -> Giver {
-        self.copies().entry(topic).or_default().ask(asker, now_ms)
+    pub fn give_copy(&self, topic: Topic, asker: &Name, now_ms: u64) -> CopySource {
+        self.copies()
+            .entry(topic)
+            .or_default()
+            .assign_source(asker, now_ms)
     }
 
     /// Takes in that a box knows a topic up to `since`: it may have got its copy.
@@ -228,11 +231,11 @@
             && since >= floor
             && let Some(copies) = self.copies().get_mut(&topic)
         {
-            copies.got(name);
+            copies.record_received(name);
         }
     }
 
-    fn copies(&self) -> MutexGuard<'_, HashMap<Topic, Copies>> {
+    fn copies(&self) -> MutexGuard<'_, HashMap<Topic, CopyTransfers>> {
         self.copies.lock().expect("invariant: no holder panics")
     }
 
--- a/crates/ivyweir-gateway/src/join.rs
+++ b/crates/ivyweir-gateway/src/join.rs
@@ -8,8 +8,8 @@
 
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use ivyweir_policy::gateway::hall::BoxRecord;
-use ivyweir_policy::gateway::joined::{ListMark, ListNews, Start};
+use ivyweir_policy::gateway::membership::{MembershipCursor, MembershipUpdate, Uptimes};
+use ivyweir_policy::gateway::relay::BoxRecord;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use tokio::time::sleep;
@@ -39,7 +39,7 @@
     from: BoxRecord,
     /// What the box has of the seed's list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    has: Option<ListMark>,
+    has: Option<MembershipCursor>,
 }
 
 /// A seed's answer.
@@ -47,7 +47,7 @@
 pub struct JoinAnswer {
     /// What is new on the list of boxes, where that is not the last one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    news: Option<ListNews>,
+    news: Option<MembershipUpdate>,
     /// Time since the seed's start.
     up_ms: u64,
     /// Boxes of all halls that joined there lately, itself included.
@@ -134,13 +134,13 @@
 
     /// Decides whether the list of boxes is good enough to choose a relay by.
     fn settle(&self, seed_up_ms: Option<u64>) {
-        let start = Start {
+        let start = Uptimes {
             up_ms: self.gateway.clock.now_ms(),
             seed_up_ms,
         };
         let peers = &self.gateway.peers;
-        peers.set_young(start.is_of_all());
-        if !peers.is_settled() && (start.knows_enough() || peers.is_only_seed()) {
+        peers.set_young(start.is_fleet_start());
+        if !peers.is_settled() && (start.can_choose_relay() || peers.is_only_seed()) {
             peers.settle();
             self.gateway.histories.tell();
         }
@@ -164,7 +164,7 @@
     let hall = message.from.hall.clone();
     gateway.peers.take_join(message.from, now_ms);
     let (news, fleet_size) = gateway.peers.with_joined(now_ms, |joined| {
-        let news = joined.news_for(&hall, message.has, now_ms);
+        let news = joined.update_for(&hall, message.has, now_ms);
         (news, joined.count(now_ms))
     });
     answer::message(&JoinAnswer {
--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -14,11 +14,13 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::hall::{
-    BoxRecord, KeptRoot, ShunPauses, Shunned, Source, View, relay_of,
+use ivyweir_policy::gateway::membership::{
+    JoinedBoxes, MembershipCursor, MembershipUpdate, SeedLists,
 };
-use ivyweir_policy::gateway::joined::{Joined, ListMark, ListNews, SeedLists};
 use ivyweir_policy::gateway::owners::Owners;
+use ivyweir_policy::gateway::relay::{
+    BoxRecord, PeerBackoff, PeerBackoffConfig, Source, SourceSelector, StickyRoot, relay_of,
+};
 use ivyweir_policy::gateway::verdict::Tally;
 use ivyweir_policy::gateway::word::{OthersWords, Repeats, Word, Work, add_repeats, add_work};
 use ivyweir_policy::rank::hash64;
@@ -27,14 +29,14 @@
 use crate::clock::Clock;
 
 /// Pauses for a box that does not answer.
-const SILENT_PAUSES: ShunPauses = ShunPauses {
-    first_ms: 1_500,
-    most_ms: 12_000,
+const SILENT_PAUSES: PeerBackoffConfig = PeerBackoffConfig {
+    initial_ms: 1_500,
+    max_ms: 12_000,
 };
 /// Pauses for a box that answers but has no source of the records, this one included.
-const SOURCELESS_PAUSES: ShunPauses = ShunPauses {
-    first_ms: 600,
-    most_ms: 3_000,
+const SOURCELESS_PAUSES: PeerBackoffConfig = PeerBackoffConfig {
+    initial_ms: 600,
+    max_ms: 3_000,
 };
 
 /// A sum of all boxes' work and repeats, and when it was made.
@@ -50,7 +52,7 @@
 pub struct Peers {
     me: BoxRecord,
     seeds: Mutex<Vec<SocketAddr>>,
-    joined: Mutex<Joined>,
+    joined: Mutex<JoinedBoxes>,
     seed_lists: Mutex<SeedLists>,
     /// Other boxes, by the seeds' lists and who joined here.
     others: Mutex<HashMap<Name, BoxRecord>>,
@@ -61,10 +63,10 @@
     fleet_size: AtomicUsize,
     /// Counts how often boxes were found silent or sourceless.
     shuns: watch::Sender<u64>,
-    silent: Mutex<Shunned>,
-    sourceless: Mutex<Shunned>,
+    silent: Mutex<PeerBackoff>,
+    sourceless: Mutex<PeerBackoff>,
     /// The root that this box hears from, if it is a relay; itself if it is the root.
-    root: Mutex<KeptRoot>,
+    root: Mutex<StickyRoot>,
     words: Mutex<OthersWords>,
     /// The sum of all boxes' words that was told last.
     fleet_sum: Mutex<Option<FleetSum>>,
@@ -80,15 +82,15 @@
         let owners = Mutex::new(Arc::new(owners_among(&me, &HashMap::new())));
         let peers = Self {
             seeds: Mutex::default(),
-            joined: Mutex::new(Joined::new(run)),
+            joined: Mutex::new(JoinedBoxes::new(run)),
             seed_lists: Mutex::new(SeedLists::new(me.hall.clone())),
             others: Mutex::default(),
             is_settled: AtomicBool::new(false),
             is_young: AtomicBool::new(true),
             fleet_size: AtomicUsize::new(0),
             shuns: watch::Sender::default(),
-            silent: Mutex::new(Shunned::new(SILENT_PAUSES)),
-            sourceless: Mutex::new(Shunned::new(SOURCELESS_PAUSES)),
+            silent: Mutex::new(PeerBackoff::new(SILENT_PAUSES)),
+            sourceless: Mutex::new(PeerBackoff::new(SOURCELESS_PAUSES)),
             root: Mutex::default(),
             words: Mutex::default(),
             fleet_sum: Mutex::default(),
@@ -135,13 +137,13 @@
 
     /// Takes in what is new on a seed's list of other boxes: none where that has not changed. [`merge`](Self::merge)
     /// follows at the end of the round.
-    pub fn take_seed_list(&self, seed: SocketAddr, news: Option<ListNews>, now_ms: u64) {
-        lock(&self.seed_lists).take(seed, news, now_ms);
+    pub fn take_seed_list(&self, seed: SocketAddr, news: Option<MembershipUpdate>, now_ms: u64) {
+        lock(&self.seed_lists).apply(seed, news, now_ms);
     }
 
     /// What this box has of a seed's list.
-    pub fn seed_list_mark(&self, seed: SocketAddr) -> Option<ListMark> {
-        lock(&self.seed_lists).mark(seed)
+    pub fn seed_list_mark(&self, seed: SocketAddr) -> Option<MembershipCursor> {
+        lock(&self.seed_lists).cursor(seed)
     }
 
     /// Takes in that a box joins here.
@@ -152,7 +154,7 @@
     }
 
     /// Looks at the boxes that joined here, this one among them.
-    pub fn with_joined<T>(&self, now_ms: u64, look: impl FnOnce(&mut Joined) -> T) -> T {
+    pub fn with_joined<T>(&self, now_ms: u64, look: impl FnOnce(&mut JoinedBoxes) -> T) -> T {
         let mut joined = lock(&self.joined);
         joined.join(self.me.clone(), now_ms);
         look(&mut joined)
@@ -223,15 +225,15 @@
     pub fn source(&self, now_ms: u64) -> Source {
         let others = lock(&self.others);
         let mut root = lock(&self.root);
-        let view = View {
+        let selector = SourceSelector {
             me: &self.me,
             others: &others,
-            is_silent: |name: &str| lock(&self.silent).contains(name, now_ms),
-            is_sourceless: |name: &str| lock(&self.sourceless).contains(name, now_ms),
-            root: root.kept(now_ms),
+            is_unresponsive: |name: &str| lock(&self.silent).is_backing_off(name, now_ms),
+            has_no_source: |name: &str| lock(&self.sourceless).is_backing_off(name, now_ms),
+            root: root.retained(now_ms),
         };
-        let source = view.source();
-        root.choose(&source, &self.me, now_ms);
+        let source = selector.source();
+        root.update(&source, &self.me, now_ms);
         source
     }
 
@@ -241,7 +243,7 @@
         let Some(other) = others.get(name) else {
             return false;
         };
-        let gives_way = lock(&self.root).give_way(&self.me, other);
+        let gives_way = lock(&self.root).yield_to(&self.me, other);
         if gives_way {
             self.note_source(name);
         }
@@ -250,24 +252,25 @@
 
     /// Whether a box is left alone for now, as it was silent or sourceless.
     fn is_shunned(&self, name: &str, now_ms: u64) -> bool {
-        lock(&self.silent).contains(name, now_ms) || lock(&self.sourceless).contains(name, now_ms)
+        lock(&self.silent).is_backing_off(name, now_ms)
+            || lock(&self.sourceless).is_backing_off(name, now_ms)
     }
 
     /// Takes in that a box has no source of the store's records; of this one, that the store does not
     /// answer it.
     pub fn note_sourceless(&self, name: &Name, now_ms: u64) {
-        lock(&self.sourceless).failed(name, now_ms);
+        lock(&self.sourceless).record_failure(name, now_ms);
         self.shuns.send_modify(|count| *count += 1);
     }
 
     /// Takes in that a box has a source of the store's records; of this one, that the store answers.
     pub fn note_source(&self, name: &str) {
-        lock(&self.sourceless).answered(name);
+        lock(&self.sourceless).record_success(name);
     }
 
     /// Takes in that a box did not answer as it should.
     pub fn note_silent(&self, name: &Name, now_ms: u64) {
-        lock(&self.silent).failed(name, now_ms);
+        lock(&self.silent).record_failure(name, now_ms);
         self.shuns.send_modify(|count| *count += 1);
     }
 
@@ -282,7 +285,7 @@
 
     /// Takes in that a box answered.
     pub fn note_answered(&self, name: &Name) {
-        lock(&self.silent).answered(name);
+        lock(&self.silent).record_success(name);
     }
 
     /// The relay of a hall, unless it is this box itself.
@@ -290,7 +293,7 @@
         let others = lock(&self.others);
         let silent = lock(&self.silent);
         let in_hall = others.values().filter(|record| &*record.hall == hall);
-        let usable = in_hall.filter(|record| !silent.contains(&record.name, now_ms));
+        let usable = in_hall.filter(|record| !silent.is_backing_off(&record.name, now_ms));
         let me = (*self.me.hall == *hall).then_some(&self.me);
         let relay = relay_of(usable.chain(me))?;
         (relay.name != self.me.name).then(|| relay.clone())
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -19,10 +19,10 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange};
-use ivyweir_policy::gateway::hall::BoxRecord;
 use ivyweir_policy::gateway::pace::ReadingPace;
 use ivyweir_policy::gateway::place::UpstreamLoad;
 use ivyweir_policy::gateway::proof::Proof;
+use ivyweir_policy::gateway::relay::BoxRecord;
 use ivyweir_policy::gateway::repeat::{FleetCounts, RepeatBudget};
 use ivyweir_policy::gateway::rollout::RolloutTrack;
 use ivyweir_policy::gateway::site::SiteIndex;
--- a/crates/ivyweir-gateway/src/sync.rs
+++ b/crates/ivyweir-gateway/src/sync.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ivyweir_policy::gateway::hall::{BoxRecord, Source};
+use ivyweir_policy::gateway::relay::{BoxRecord, Source};
 use ivyweir_policy::gateway::revision::Revision;
 use rand::Rng;
 use serde_json::json;
@@ -141,7 +141,7 @@
             Source::Store => self.hear_store(since).await,
             Source::Relay(relay) => self.hear_box(since, relay, Asker::Follower).await,
             Source::Root(root) => self.hear_box(since, root, Asker::Relay).await,
-            Source::Nobody => Err(Failed::NoSource),
+            Source::Unavailable => Err(Failed::NoSource),
         }
     }
 
--- a/crates/ivyweir-gateway/src/sync/relay.rs
+++ b/crates/ivyweir-gateway/src/sync/relay.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use ivyweir_policy::gateway::hall::BoxRecord;
+use ivyweir_policy::gateway::relay::BoxRecord;
 use ivyweir_policy::gateway::revision::Revision;
 use serde_json::json;
 use tokio::time::timeout;
--- a/crates/ivyweir-gateway/src/words.rs
+++ b/crates/ivyweir-gateway/src/words.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response, StatusCode};
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::duty::usage::Telling;
-use ivyweir_policy::gateway::hall::{BoxRecord, asks};
+use ivyweir_policy::gateway::relay::{BoxRecord, polls};
 use ivyweir_policy::gateway::word::{Word, WordMessage, Work, add_repeats, add_tallies, without};
 use serde_json::json;
 use tokio::time::{sleep, timeout};
@@ -95,7 +95,7 @@
             continue;
         };
         // Each pair of relays talks once a round; whoever hears from the other must notice its loss.
-        if asks(own_hall, &hall) || root.as_ref() == Some(&relay) {
+        if polls(own_hall, &hall) || root.as_ref() == Some(&relay) {
             let word = hall_word(gateway);
             let message = own_message(gateway, &relay.name, true, word, Telling::Rows);
             tell(gateway, clients, &relay, &message).await;
--- a/crates/ivyweir-policy/src/gateway/copies.rs
+++ b/crates/ivyweir-policy/src/gateway/copies.rs
@@ -1,85 +1,89 @@
-//! Who gives a whole copy of a topic's records to a box that has none.
+//! Assignment of sources to boxes that need a full copy of a topic's records.
 //!
-//! A box that gave a long list to all boxes of its hall at once would be busy for seconds, and be taken to be
-//! lost meanwhile. So a box gives a few copies at a time, and names boxes that have got one to the others: the
-//! number of those that have theirs multiplies with each round.
+//! A box that sent a long list to all boxes of its hall at once would be busy for seconds and be considered lost in the
+//! meantime. A box therefore sends only a few copies concurrently and redirects further requests to boxes that already
+//! received one, so that the number of available sources multiplies with each round.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::Name;
 
-/// Copies that a box gives at a time: more would share its link.
-const AT_ONCE: usize = 3;
-/// Time after which a copy that was not confirmed counts no more.
-const GIVING_MS: u64 = 1_500;
+/// Maximum number of copies that one box sends concurrently. Further ones would share its network link.
+const MAX_CONCURRENT_COPIES: usize = 3;
+/// Time after which an unconfirmed copy no longer counts as in progress.
+const COPY_TIMEOUT_MS: u64 = 1_500;
 
-/// Who gives a box its copy.
+/// Source assigned to a box for its copy.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Giver {
-    /// The box that was asked.
-    Asked,
-    /// A box that has got its own.
-    Other(Name),
-    /// Nobody yet: all are busy.
-    Later,
+pub enum CopySource {
+    /// The box that received the request.
+    Local,
+    /// Another box, which already received its own copy.
+    Peer(Name),
+    /// None at present: all sources are at their concurrency limit.
+    Unavailable,
 }
 
-/// Copies that are under way, and boxes that have got theirs.
+/// Copies in progress and the boxes that completed theirs.
 #[derive(Debug, Default)]
-pub struct Copies {
-    /// By the box that gets one.
-    under_way: HashMap<Name, Copy>,
+pub struct CopyTransfers {
+    /// Copies in progress, by receiving box.
+    in_progress: HashMap<Name, Transfer>,
     holders: HashSet<Name>,
 }
 
 #[derive(Debug)]
-struct Copy {
-    /// None where this box gives it.
-    giver: Option<Name>,
+struct Transfer {
+    /// `None` if this box is the source.
+    source: Option<Name>,
     since_ms: u64,
 }
 
-impl Copies {
-    /// Finds who gives `asker` its copy. One that was sent to another box before found that that has none.
-    pub fn ask(&mut self, asker: &Name, now_ms: u64) -> Giver {
-        self.holders.remove(asker);
-        if let Some(Copy {
-            giver: Some(giver), ..
-        }) = self.under_way.remove(asker)
+impl CopyTransfers {
+    /// Assigns a source to `requester`. If the requester was redirected to another box before, that box had no copy and
+    /// is no longer used as a source.
+    pub fn assign_source(&mut self, requester: &Name, now_ms: u64) -> CopySource {
+        self.holders.remove(requester);
+        if let Some(Transfer {
+            source: Some(source),
+            ..
+        }) = self.in_progress.remove(requester)
         {
-            self.holders.remove(&giver);
+            self.holders.remove(&source);
         }
-        self.under_way
-            .retain(|_, copy| now_ms < copy.since_ms + GIVING_MS);
-        let giver = if self.given_by(None) < AT_ONCE {
+        self.in_progress
+            .retain(|_, transfer| now_ms < transfer.since_ms + COPY_TIMEOUT_MS);
+        let source = if self.transfers_from(None) < MAX_CONCURRENT_COPIES {
             None
         } else {
             let free = self
                 .holders
                 .iter()
-                .filter(|h| self.given_by(Some(h)) < AT_ONCE);
-            match free.min_by_key(|holder| (self.given_by(Some(holder)), (*holder).clone())) {
+                .filter(|h| self.transfers_from(Some(h)) < MAX_CONCURRENT_COPIES);
+            match free.min_by_key(|holder| (self.transfers_from(Some(holder)), (*holder).clone())) {
                 Some(holder) => Some(holder.clone()),
-                None => return Giver::Later,
+                None => return CopySource::Unavailable,
             }
         };
-        let copy = Copy {
-            giver: giver.clone(),
+        let transfer = Transfer {
+            source: source.clone(),
             since_ms: now_ms,
         };
-        self.under_way.insert(asker.clone(), copy);
-        giver.map_or(Giver::Asked, Giver::Other)
+        self.in_progress.insert(requester.clone(), transfer);
+        source.map_or(CopySource::Local, CopySource::Peer)
     }
 
-    /// Takes in that a box has got its copy.
-    pub fn got(&mut self, name: &Name) {
-        if self.under_way.remove(name).is_some() {
+    /// Records that a box received its copy.
+    pub fn record_received(&mut self, name: &Name) {
+        if self.in_progress.remove(name).is_some() {
             self.holders.insert(name.clone());
         }
     }
 
-    fn given_by(&self, giver: Option<&Name>) -> usize {
-        let copies = self.under_way.values();
-        copies.filter(|copy| copy.giver.as_ref() == giver).count()
+    fn transfers_from(&self, source: Option<&Name>) -> usize {
+        let transfers = self.in_progress.values();
+        transfers
+            .filter(|transfer| transfer.source.as_ref() == source)
+            .count()
     }
 }
--- a/crates/ivyweir-policy/tests/common/mod.rs
+++ b/crates/ivyweir-policy/tests/common/mod.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::hall::BoxRecord;
-use ivyweir_policy::gateway::joined::{Joined, SeedLists};
+use ivyweir_policy::gateway::membership::{JoinedBoxes, SeedLists};
 use ivyweir_policy::gateway::owners::{Owners, Sharing, may_own};
+use ivyweir_policy::gateway::relay::BoxRecord;
 use ivyweir_policy::rank::hash64;
 use proptest::prelude::*;
 
@@ -59,7 +59,7 @@
     cut_until_ms: u64,
     next_join_ms: u64,
     rounds: usize,
-    joined: Joined,
+    joined: JoinedBoxes,
     lists: SeedLists,
     joined_at_ms: u64,
     owners: Arc<Owners>,
@@ -83,7 +83,7 @@
             cut_until_ms: 0,
             next_join_ms: 0,
             rounds: n,
-            joined: Joined::default(),
+            joined: JoinedBoxes::default(),
             joined_at_ms: 0,
             owners: Arc::default(),
             fleet_size: 1,
@@ -95,7 +95,7 @@
         self.started_ms = Some(now_ms);
         self.next_join_ms = now_ms;
         self.rounds %= SEEDS;
-        self.joined = Joined::new(u64::from(self.starts));
+        self.joined = JoinedBoxes::new(u64::from(self.starts));
         self.lists = SeedLists::new(self.record.hall.clone());
         self.joined_at_ms = 0;
     }
@@ -217,9 +217,9 @@
         boxes[seed].joined.join(record, now_ms);
         boxes[seed].joined.join(seed_record, now_ms);
         let addr = boxes[seed].record.peer_addr;
-        let has = boxes[n].lists.mark(addr);
-        let news = boxes[seed].joined.news_for(&hall, has, now_ms);
-        boxes[n].lists.take(addr, news, now_ms);
+        let has = boxes[n].lists.cursor(addr);
+        let news = boxes[seed].joined.update_for(&hall, has, now_ms);
+        boxes[n].lists.apply(addr, news, now_ms);
         boxes[n].fleet_size = boxes[seed].joined.count(now_ms);
         boxes[n].joined_at_ms = now_ms;
     }
--- a/crates/ivyweir-policy/tests/gateway_copies.rs
+++ b/crates/ivyweir-policy/tests/gateway_copies.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::copies::{Copies, Giver};
+use ivyweir_policy::gateway::copies::{CopySource, CopyTransfers};
 use ivyweir_policy::gateway::word::{OthersWords, Word, Work, without};
 
 fn name(n: usize) -> Name {
@@ -13,7 +13,7 @@
 /// Rounds until all of so many boxes have their copy, where a copy takes one round; and the most that one box
 /// gives at a time.
 fn rounds(boxes: usize) -> (usize, usize) {
-    let mut copies = Copies::default();
+    let mut copies = CopyTransfers::default();
     let mut waiting: Vec<usize> = (0..boxes).collect();
     let mut most = 0;
     for round in 0..boxes {
@@ -23,17 +23,17 @@
         let mut given: HashMap<Option<Name>, usize> = HashMap::new();
         let mut got = Vec::new();
         waiting.retain(|&n| {
-            let giver = match copies.ask(&name(n), 200 * round as u64) {
-                Giver::Asked => None,
-                Giver::Other(giver) => Some(giver),
-                Giver::Later => return true,
+            let giver = match copies.assign_source(&name(n), 200 * round as u64) {
+                CopySource::Local => None,
+                CopySource::Peer(giver) => Some(giver),
+                CopySource::Unavailable => return true,
             };
             *given.entry(giver).or_default() += 1;
             got.push(n);
             false
         });
         most = most.max(given.values().copied().max().unwrap_or(0));
-        got.iter().for_each(|&n| copies.got(&name(n)));
+        got.iter().for_each(|&n| copies.record_received(&name(n)));
     }
     (boxes, most)
 }
@@ -58,38 +58,44 @@
 
 #[test]
 fn a_box_that_gave_none_is_not_named_again() {
-    let mut copies = Copies::default();
+    let mut copies = CopyTransfers::default();
     for n in 0..3 {
-        assert_eq!(copies.ask(&name(n), 0), Giver::Asked);
+        assert_eq!(copies.assign_source(&name(n), 0), CopySource::Local);
     }
-    copies.got(&name(0));
+    copies.record_received(&name(0));
     for n in 3..4 {
-        assert_eq!(copies.ask(&name(n), 10), Giver::Asked);
+        assert_eq!(copies.assign_source(&name(n), 10), CopySource::Local);
     }
-    assert_eq!(copies.ask(&name(4), 20), Giver::Other(name(0)));
+    assert_eq!(
+        copies.assign_source(&name(4), 20),
+        CopySource::Peer(name(0))
+    );
     // It asks again, so it got nothing there.
-    assert_eq!(copies.ask(&name(4), 30), Giver::Later);
+    assert_eq!(copies.assign_source(&name(4), 30), CopySource::Unavailable);
 }
 
 #[test]
 fn a_copy_that_is_not_confirmed_holds_its_place_for_a_while_only() {
-    let mut copies = Copies::default();
+    let mut copies = CopyTransfers::default();
     for n in 0..3 {
-        assert_eq!(copies.ask(&name(n), 0), Giver::Asked);
+        assert_eq!(copies.assign_source(&name(n), 0), CopySource::Local);
     }
-    assert_eq!(copies.ask(&name(3), 1_000), Giver::Later);
-    assert_eq!(copies.ask(&name(3), 1_600), Giver::Asked);
+    assert_eq!(
+        copies.assign_source(&name(3), 1_000),
+        CopySource::Unavailable
+    );
+    assert_eq!(copies.assign_source(&name(3), 1_600), CopySource::Local);
 }
 
 #[test]
 fn a_box_that_had_its_copy_and_lacks_it_again_gives_none() {
-    let mut copies = Copies::default();
-    assert_eq!(copies.ask(&name(0), 0), Giver::Asked);
-    copies.got(&name(0));
+    let mut copies = CopyTransfers::default();
+    assert_eq!(copies.assign_source(&name(0), 0), CopySource::Local);
+    copies.record_received(&name(0));
     for n in 1..4 {
-        assert_eq!(copies.ask(&name(n), 10), Giver::Asked);
+        assert_eq!(copies.assign_source(&name(n), 10), CopySource::Local);
     }
-    assert_eq!(copies.ask(&name(0), 20), Giver::Later);
+    assert_eq!(copies.assign_source(&name(0), 20), CopySource::Unavailable);
 }
 
 fn work(of: &[(&str, f64)]) -> Work {
--- a/crates/ivyweir-policy/tests/gateway_peers.rs
+++ b/crates/ivyweir-policy/tests/gateway_peers.rs
@@ -4,8 +4,10 @@
 use std::net::SocketAddr;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::hall::{BoxRecord, KeptRoot, ShunPauses, Shunned, Source, View, asks};
-use ivyweir_policy::gateway::joined::{Joined, SeedLists, Start};
+use ivyweir_policy::gateway::membership::{JoinedBoxes, SeedLists, Uptimes};
+use ivyweir_policy::gateway::relay::{
+    BoxRecord, PeerBackoff, PeerBackoffConfig, Source, SourceSelector, StickyRoot, polls,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -34,11 +36,11 @@
         let others = fleet.iter().filter(|r| r.name != me.name);
         let others: HashMap<Name, BoxRecord> =
             others.map(|r| (r.name.clone(), r.clone())).collect();
-        let view = View {
+        let view = SourceSelector {
             me,
             others: &others,
-            is_silent: |_: &str| false,
-            is_sourceless: |name: &str| out.contains(name),
+            is_unresponsive: |_: &str| false,
+            has_no_source: |name: &str| out.contains(name),
             root: None,
         };
         view.source()
@@ -86,7 +88,7 @@
     assert_ne!(next, root);
     let told_by = |source: &Source| match source {
         Source::Root(other) | Source::Relay(other) => Some(other.name.clone()),
-        Source::Store | Source::Nobody => None,
+        Source::Store | Source::Unavailable => None,
     };
     assert_eq!(told_by(&sources[&root[0]]).as_ref(), Some(&next[0]));
 }
@@ -97,7 +99,7 @@
     let all: HashSet<Name> = fleet.iter().map(|r| r.name.clone()).collect();
     let sources = sources(&fleet, &all);
     // Boxes of the three halls that may have the root try it, each for itself; others wait.
-    assert_eq!(names(&sources, |s| *s == Source::Nobody).len(), 3);
+    assert_eq!(names(&sources, |s| *s == Source::Unavailable).len(), 3);
 }
 
 #[test]
@@ -122,7 +124,7 @@
 fn of_two_halls_one_asks_the_other() {
     for one in HALLS {
         for other in HALLS.iter().filter(|other| **other != one) {
-            assert_ne!(asks(one, other), asks(other, one));
+            assert_ne!(polls(one, other), polls(other, one));
         }
     }
 }
@@ -131,11 +133,11 @@
 fn of_two_roots_one_gives_way_at_once() {
     let fleet = fleet();
     for (me, other) in fleet.iter().flat_map(|a| fleet.iter().map(move |b| (a, b))) {
-        let mut root = KeptRoot::default();
-        root.choose(&Source::Store, me, 0);
-        let comes_later = me.hall != other.hall && asks(&me.hall, &other.hall);
-        assert_eq!(root.give_way(me, other), comes_later);
-        assert_eq!(root.kept(1), (!comes_later).then_some(&me.name));
+        let mut root = StickyRoot::default();
+        root.update(&Source::Store, me, 0);
+        let comes_later = me.hall != other.hall && polls(&me.hall, &other.hall);
+        assert_eq!(root.yield_to(me, other), comes_later);
+        assert_eq!(root.retained(1), (!comes_later).then_some(&me.name));
     }
 }
 
@@ -143,35 +145,35 @@
 fn a_relay_that_is_no_root_itself_keeps_to_its_own() {
     let fleet = fleet();
     let (me, root) = (&fleet[0], &fleet[1]);
-    let mut kept = KeptRoot::default();
-    kept.choose(&Source::Root(root.clone()), me, 0);
+    let mut kept = StickyRoot::default();
+    kept.update(&Source::Root(root.clone()), me, 0);
     for other in &fleet {
-        assert!(!kept.give_way(me, other));
+        assert!(!kept.yield_to(me, other));
     }
-    kept.choose(&Source::Root(root.clone()), me, 9_000);
-    assert_eq!(kept.kept(9_999), Some(&root.name));
-    assert_eq!(kept.kept(10_000), None);
+    kept.update(&Source::Root(root.clone()), me, 9_000);
+    assert_eq!(kept.retained(9_999), Some(&root.name));
+    assert_eq!(kept.retained(10_000), None);
 }
 
 #[test]
 fn a_box_that_fails_again_is_left_alone_longer() {
-    let mut shunned = Shunned::new(ShunPauses {
-        first_ms: 100,
-        most_ms: 300,
+    let mut shunned = PeerBackoff::new(PeerBackoffConfig {
+        initial_ms: 100,
+        max_ms: 300,
     });
     let name = Name::from("box-1");
     for until_ms in [100, 200, 300, 300] {
-        shunned.failed(&name, 1_000);
-        assert!(shunned.contains(&name, 1_000 + until_ms - 1));
-        assert!(!shunned.contains(&name, 1_000 + until_ms));
+        shunned.record_failure(&name, 1_000);
+        assert!(shunned.is_backing_off(&name, 1_000 + until_ms - 1));
+        assert!(!shunned.is_backing_off(&name, 1_000 + until_ms));
     }
-    shunned.answered(&name);
-    assert!(!shunned.contains(&name, 1_000));
+    shunned.record_success(&name);
+    assert!(!shunned.is_backing_off(&name, 1_000));
 }
 
 #[test]
 fn a_seed_tells_of_a_whole_hall_and_of_some_of_each_other() {
-    let mut joined = Joined::default();
+    let mut joined = JoinedBoxes::default();
     for n in 0..20 {
         joined.join(record(&format!("a{n}"), "hall-a", n), 0);
         joined.join(record(&format!("b{n}"), "hall-b", 100 + n), 0);
@@ -183,7 +185,7 @@
 
 #[test]
 fn a_box_that_joins_no_more_is_forgotten() {
-    let mut joined = Joined::default();
+    let mut joined = JoinedBoxes::default();
     assert!(joined.join(record("gone", "hall-a", 1), 0));
     assert!(joined.join(record("stays", "hall-a", 2), 0));
     assert!(!joined.join(record("stays", "hall-a", 2), 15_000));
@@ -192,8 +194,8 @@
 }
 
 /// A seed at which these boxes joined.
-fn seed_of(boxes: &[BoxRecord]) -> Joined {
-    let mut joined = Joined::new(1);
+fn seed_of(boxes: &[BoxRecord]) -> JoinedBoxes {
+    let mut joined = JoinedBoxes::new(1);
     for record in boxes {
         joined.join(record.clone(), 0);
     }
@@ -204,17 +206,17 @@
 fn lists_of_seeds_are_added_up_and_the_newest_word_on_a_box_counts() {
     let seeds: [SocketAddr; 2] = [1, 2].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let mut lists = SeedLists::new("hall-a".into());
-    assert_eq!(lists.mark(seeds[0]), None);
+    assert_eq!(lists.cursor(seeds[0]), None);
     let mut first = seed_of(&[record("moved", "hall-a", 10), record("one", "hall-a", 11)]);
-    lists.take(seeds[0], first.news_for("hall-a", None, 0), 0);
-    assert_eq!(first.news_for("hall-a", lists.mark(seeds[0]), 0), None);
+    lists.apply(seeds[0], first.update_for("hall-a", None, 0), 0);
+    assert_eq!(first.update_for("hall-a", lists.cursor(seeds[0]), 0), None);
     let mut second = seed_of(&[record("moved", "hall-a", 20)]);
-    lists.take(seeds[1], second.news_for("hall-a", None, 0), 1_000);
+    lists.apply(seeds[1], second.update_for("hall-a", None, 0), 1_000);
     let boxes = lists.boxes();
     assert_eq!(boxes["moved"].peer_addr.port(), 20);
     assert_eq!(boxes.keys().cloned().collect::<BTreeSet<Name>>().len(), 2);
     // The second seed goes on answering, without news; the first one is silent.
-    lists.take(seeds[1], None, 31_500);
+    lists.apply(seeds[1], None, 31_500);
     assert_eq!(lists.boxes().len(), 1);
 }
 
@@ -222,12 +224,12 @@
 fn a_box_that_changed_its_size_is_news() {
     let before = record("one", "hall-a", 1);
     let mut joined = seed_of(std::slice::from_ref(&before));
-    let news = joined.news_for("hall-a", None, 0).expect("a list");
+    let news = joined.update_for("hall-a", None, 0).expect("a list");
     assert_eq!(news.boxes, std::slice::from_ref(&before));
     let mut after = before;
     after.cpu_milli = 500;
     assert!(joined.join(after.clone(), 0));
-    let news = joined.news_for("hall-a", Some(news.mark), 0);
+    let news = joined.update_for("hall-a", Some(news.mark), 0);
     assert_eq!(news.expect("news").boxes, [after]);
 }
 
@@ -236,16 +238,16 @@
     let mut before = seed_of(&[record("one", "hall-a", 1), record("two", "hall-a", 2)]);
     let mut lists = SeedLists::new("hall-a".into());
     let seed = SocketAddr::from(([127, 0, 0, 1], 9));
-    lists.take(seed, before.news_for("hall-a", None, 0), 0);
-    let mut after = Joined::new(2);
+    lists.apply(seed, before.update_for("hall-a", None, 0), 0);
+    let mut after = JoinedBoxes::new(2);
     for name in ["one", "three"] {
         after.join(record(name, "hall-a", 1), 0);
     }
     let news = after
-        .news_for("hall-a", lists.mark(seed), 0)
+        .update_for("hall-a", lists.cursor(seed), 0)
         .expect("a list");
     assert!(news.is_whole);
-    lists.take(seed, Some(news), 0);
+    lists.apply(seed, Some(news), 0);
     let boxes: BTreeSet<Name> = lists.boxes().into_keys().collect();
     assert_eq!(boxes, ["one", "three"].map(Name::from).into());
 }
@@ -256,7 +258,7 @@
     let mut rng = StdRng::seed_from_u64(44);
     let seed = SocketAddr::from(([127, 0, 0, 1], 9));
     for run in 0..30 {
-        let mut joined = Joined::new(run);
+        let mut joined = JoinedBoxes::new(run);
         let mut lists = SeedLists::new("hall-a".into());
         for now_ms in (0..200_000).step_by(500) {
             let n = rng.random_range(0..40_u16);
@@ -265,8 +267,8 @@
             joins.cpu_milli = [120, 120, 120, 500][rng.random_range(0..4)];
             joined.join(joins, now_ms);
             if rng.random_bool(0.2) {
-                let news = joined.news_for("hall-a", lists.mark(seed), now_ms);
-                lists.take(seed, news, now_ms);
+                let news = joined.update_for("hall-a", lists.cursor(seed), now_ms);
+                lists.apply(seed, news, now_ms);
                 let mut known: Vec<BoxRecord> = lists.boxes().into_values().collect();
                 let mut told = joined.list_for("hall-a", now_ms);
                 for list in [&mut known, &mut told] {
@@ -282,20 +284,20 @@
 fn records_told(boxes: u16, restarts: u16) -> usize {
     let name = |n: u16| format!("box-{n}");
     let hall = |n: u16| HALLS[usize::from(n) % HALLS.len()];
-    let mut joined = Joined::new(1);
+    let mut joined = JoinedBoxes::new(1);
     for n in 0..boxes {
         joined.join(record(&name(n), hall(n), n), 0);
     }
     let asker = SocketAddr::from(([127, 0, 0, 1], 9));
     let mut lists = SeedLists::new("hall-a".into());
-    lists.take(asker, joined.news_for("hall-a", None, 0), 0);
+    lists.apply(asker, joined.update_for("hall-a", None, 0), 0);
     let mut told = 0;
     for n in 0..restarts {
         // It comes back at another address.
         joined.join(record(&name(n), hall(n), 10_000 + n), 1);
-        if let Some(news) = joined.news_for("hall-a", lists.mark(asker), 1) {
+        if let Some(news) = joined.update_for("hall-a", lists.cursor(asker), 1) {
             told += news.boxes.len() + news.gone.len();
-            lists.take(asker, Some(news), 1);
+            lists.apply(asker, Some(news), 1);
         }
     }
     told
@@ -314,8 +316,8 @@
     ($($name:ident: $up_ms:expr, $seed_up_ms:expr => $knows_enough:expr;)*) => {$(
         #[test]
         fn $name() {
-            let start = Start { up_ms: $up_ms, seed_up_ms: $seed_up_ms };
-            assert_eq!(start.knows_enough(), $knows_enough);
+            let start = Uptimes { up_ms: $up_ms, seed_up_ms: $seed_up_ms };
+            assert_eq!(start.can_choose_relay(), $knows_enough);
         }
     )*};
 }
@@ -332,7 +334,7 @@
 
 #[test]
 fn boxes_of_all_halls_count_until_they_join_no_more() {
-    let mut joined = Joined::default();
+    let mut joined = JoinedBoxes::default();
     for record in fleet() {
         joined.join(record, 1_000);
     }
@@ -360,11 +362,11 @@
     };
     let others = boxes.iter().filter(|r| r.name != boxes[me].name);
     let others = others.map(|r| (r.name.clone(), r.clone())).collect();
-    let view = View {
+    let view = SourceSelector {
         me: &boxes[me],
         others: &others,
-        is_silent: |name: &str| is_among(name, 0, silent),
-        is_sourceless: |name: &str| is_among(name, silent, silent + sourceless),
+        is_unresponsive: |name: &str| is_among(name, 0, silent),
+        has_no_source: |name: &str| is_among(name, silent, silent + sourceless),
         root: None,
     };
     view.source()
@@ -390,8 +392,8 @@
     also_by_the_last_one: 5, 5, 0 => Source::Store;
     a_relay_that_hears_nothing_is_passed_over: 4, 0, 1 => relay(1);
     the_third_may_hear_the_store_where_two_do_not: 2, 0, 2 => Source::Store;
-    the_fourth_does_not_look_for_a_store_that_three_lost: 3, 0, 3 => Source::Nobody;
-    nor_does_the_last: 5, 0, 3 => Source::Nobody;
+    the_fourth_does_not_look_for_a_store_that_three_lost: 3, 0, 3 => Source::Unavailable;
+    nor_does_the_last: 5, 0, 3 => Source::Unavailable;
     the_three_go_on_trying: 1, 0, 3 => Source::Store;
     those_behind_boxes_that_are_gone_try_too: 3, 1, 3 => Source::Store;
 }
--- a/crates/ivyweird/tests/gateway_proofs.rs
+++ b/crates/ivyweird/tests/gateway_proofs.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ivyweir_policy::gateway::hall::BoxRecord;
+use ivyweir_policy::gateway::relay::BoxRecord;
 use ivyweir_standins::edge::{PeerFilter, Town, eventually, post_stream};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
