--- a/crates/ivyweir-gateway/src/adopt.rs
+++ b/crates/ivyweir-gateway/src/adopt.rs
@@ -7,7 +7,7 @@
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::revision::Revision;
 use ivyweir_policy::gateway::rollout::{RolloutOrder, RolloutState, RolloutTrack};
-use ivyweir_policy::gateway::site::{Site, SiteIndex};
+use ivyweir_policy::gateway::site::{SiteConfig, SiteIndex};
 use ivyweir_policy::gateway::statement::Source;
 use serde_json::json;
 
@@ -179,7 +179,7 @@
     });
 }
 
-fn adopt_site(gateway: &Gateway, revision: Revision, mut site: Site) {
+fn adopt_site(gateway: &Gateway, revision: Revision, mut site: SiteConfig) {
     let (version, routes) = (site.version, site.routes.len());
     for pool in &mut site.pools {
         if let Some(start) = pool.cold_start.take_if(|start| !start.is_sane()) {
--- a/crates/ivyweir-gateway/src/dialect.rs
+++ b/crates/ivyweir-gateway/src/dialect.rs
@@ -16,7 +16,7 @@
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::quarantine::{Fingerprint, QuarantineRecord};
 use ivyweir_policy::gateway::rollout::RolloutOrder;
-use ivyweir_policy::gateway::site::Site;
+use ivyweir_policy::gateway::site::SiteConfig;
 use ivyweir_policy::gateway::statement::{Source, Statement};
 use serde::{Deserialize, Serialize};
 
@@ -158,7 +158,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum Item {
     /// A configuration.
-    Site(Box<Site>),
+    Site(Box<SiteConfig>),
     /// An upstream.
     Upstream(UpstreamRecord),
     /// A roll-out.
--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -18,11 +18,13 @@
     JoinedBoxes, MembershipCursor, MembershipUpdate, SeedLists,
 };
 use ivyweir_policy::gateway::owners::Owners;
+use ivyweir_policy::gateway::peer_report::{
+    PeerReport, PeerReports, PoolRetryCounts, Work, add_retry_counts, add_work,
+};
 use ivyweir_policy::gateway::relay::{
     BoxRecord, PeerBackoff, PeerBackoffConfig, Source, SourceSelector, StickyRoot, relay_of,
 };
 use ivyweir_policy::gateway::verdict::Tally;
-use ivyweir_policy::gateway::word::{OthersWords, Repeats, Word, Work, add_repeats, add_work};
 use ivyweir_policy::rank::hash64;
 use tokio::sync::watch;
 
@@ -43,7 +45,7 @@
 #[derive(Debug)]
 struct FleetSum {
     work: Work,
-    repeats: Repeats,
+    repeats: PoolRetryCounts,
     at_ms: u64,
 }
 
@@ -67,7 +69,7 @@
     sourceless: Mutex<PeerBackoff>,
     /// The root that this box hears from, if it is a relay; itself if it is the root.
     root: Mutex<StickyRoot>,
-    words: Mutex<OthersWords>,
+    words: Mutex<PeerReports>,
     /// The sum of all boxes' words that was told last.
     fleet_sum: Mutex<Option<FleetSum>>,
     /// The boxes that share what cold upstreams bear.
@@ -318,7 +320,7 @@
 
     /// Whether a word of each other hall was heard lately.
     pub fn hears_all_halls(&self, now_ms: u64) -> bool {
-        let tellers = lock(&self.words).tellers(now_ms);
+        let tellers = lock(&self.words).recent_senders(now_ms);
         let others = lock(&self.others);
         let heard = tellers.iter().filter_map(|name| others.get(name));
         let heard: HashSet<&Name> = heard.map(|record| &record.hall).collect();
@@ -332,25 +334,30 @@
     }
 
     /// Takes in the word of a box, or of a relay for several boxes.
-    pub fn take_word(&self, from: &Name, word: Word, now_ms: u64) {
-        lock(&self.words).put(from, word, now_ms);
+    pub fn take_word(&self, from: &Name, word: PeerReport, now_ms: u64) {
+        lock(&self.words).insert(from, word, now_ms);
     }
 
     /// The sum of the latest words of boxes other than `except`.
-    pub fn words_except(&self, except: impl Fn(&str) -> bool, now_ms: u64) -> Word {
+    pub fn words_except(&self, except: impl Fn(&str) -> bool, now_ms: u64) -> PeerReport {
         lock(&self.words).sum_except(except, now_ms)
     }
 
     /// The work and the repeats of all boxes, as far as they were told; `own` is this box's word. A sum
     /// that is younger than `max_age_ms` is told again.
-    pub fn fleet_sum(&self, max_age_ms: u64, now_ms: u64, own: &Word) -> (Work, Repeats) {
+    pub fn fleet_sum(
+        &self,
+        max_age_ms: u64,
+        now_ms: u64,
+        own: &PeerReport,
+    ) -> (Work, PoolRetryCounts) {
         let mut known = lock(&self.fleet_sum);
         if let Some(sum) = known.as_ref().filter(|sum| now_ms < sum.at_ms + max_age_ms) {
             return (sum.work.clone(), sum.repeats.clone());
         }
-        let (mut work, mut repeats) = lock(&self.words).work_and_repeats(now_ms);
+        let (mut work, mut repeats) = lock(&self.words).work_and_retries(now_ms);
         add_work(&mut work, &own.work);
-        add_repeats(&mut repeats, &own.repeats);
+        add_retry_counts(&mut repeats, &own.repeats);
         *known = Some(FleetSum {
             work: work.clone(),
             repeats: repeats.clone(),
--- a/crates/ivyweir-gateway/src/settings.rs
+++ b/crates/ivyweir-gateway/src/settings.rs
@@ -6,7 +6,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, CONFIDENCE_FULL};
 use ivyweir_policy::gateway::duty::report::UsageTerms;
-use ivyweir_policy::gateway::repeat::RepeatLimits;
+use ivyweir_policy::gateway::retry_budget::RetryLimits;
 use serde::Deserialize;
 use snafu::ensure;
 
@@ -249,8 +249,8 @@
     }
 
     /// This box's own part of the bounds on repeats of a fleet of so many boxes.
-    pub fn repeat_limits(&self, boxes: usize) -> RepeatLimits {
-        RepeatLimits {
+    pub fn repeat_limits(&self, boxes: usize) -> RetryLimits {
+        RetryLimits {
             ratio: self.repeat_ratio * REPEAT_RATIO_USED,
             slack: self.repeat_slack / boxes.max(REPEAT_SLACK_BOXES) as f64,
             fleet_slack: self.repeat_slack,
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -19,16 +19,16 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange};
+use ivyweir_policy::gateway::freshness::FreshnessProof;
 use ivyweir_policy::gateway::pace::ReadingPace;
+use ivyweir_policy::gateway::peer_report::{PeerReport, Running};
 use ivyweir_policy::gateway::place::UpstreamLoad;
-use ivyweir_policy::gateway::proof::Proof;
 use ivyweir_policy::gateway::relay::BoxRecord;
-use ivyweir_policy::gateway::repeat::{FleetCounts, RepeatBudget};
+use ivyweir_policy::gateway::retry_budget::{FleetCounts, RetryBudget};
 use ivyweir_policy::gateway::rollout::RolloutTrack;
 use ivyweir_policy::gateway::site::SiteIndex;
 use ivyweir_policy::gateway::statement::Source;
 use ivyweir_policy::gateway::upstreams::Upstreams;
-use ivyweir_policy::gateway::word::{Running, Word};
 use ivyweir_policy::rank::hash64;
 use serde_json::json;
 use tokio::sync::{Notify, watch};
@@ -86,10 +86,10 @@
     pub store_news: StoreNews,
     store_era: Mutex<StoreEra>,
     site: Mutex<Option<Arc<SiteIndex>>>,
-    proof: Mutex<Proof>,
+    proof: Mutex<FreshnessProof>,
     upstreams: Mutex<Upstreams>,
     rollouts: Mutex<HashMap<Name, RolloutTrack>>,
-    budgets: Mutex<HashMap<Name, RepeatBudget>>,
+    budgets: Mutex<HashMap<Name, RetryBudget>>,
     /// What all boxes counted of repeats, by pool.
     fleet_repeats: Mutex<HashMap<Name, FleetCounts>>,
     paces: Mutex<HashMap<Name, ReadingPace>>,
@@ -210,7 +210,7 @@
     }
 
     /// What this box has to tell others.
-    pub fn own_word(&self) -> Word {
+    pub fn own_word(&self) -> PeerReport {
         let tallies = self.own_tallies();
         let upstreams = lock(&self.upstreams);
         let work = upstreams.own_work();
@@ -221,7 +221,7 @@
             Running::new()
         };
         drop(upstreams);
-        Word {
+        PeerReport {
             work,
             tallies,
             repeats: self.own_repeats(),
@@ -230,7 +230,7 @@
     }
 
     /// Takes in what others told; `word.repeats` counts for all boxes.
-    pub fn take_others_word(&self, word: Word) {
+    pub fn take_others_word(&self, word: PeerReport) {
         self.take_fleet_repeats(word.repeats);
         for (pool, tally) in word.tallies {
             self.hear_tally(&pool, tally);
--- a/crates/ivyweir-gateway/src/state/proof.rs
+++ b/crates/ivyweir-gateway/src/state/proof.rs
@@ -31,7 +31,7 @@
 
     /// Whether a proof of this time is a newer one.
     pub fn is_proof_older_than(&self, asked_at_ms: i64) -> bool {
-        lock(&self.proof).is_older_than(asked_at_ms)
+        lock(&self.proof).is_superseded_by(asked_at_ms)
     }
 
     /// Age of the proof that the configuration is the newest.
--- a/crates/ivyweir-gateway/src/state/repeats.rs
+++ b/crates/ivyweir-gateway/src/state/repeats.rs
@@ -1,8 +1,8 @@
 //! How often requests may be sent again, by this box's counts and those of the fleet.
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::repeat::{FleetCounts, RepeatCounts, RepeatLimits};
-use ivyweir_policy::gateway::word::Repeats;
+use ivyweir_policy::gateway::peer_report::PoolRetryCounts;
+use ivyweir_policy::gateway::retry_budget::{FleetCounts, RetryCounts, RetryLimits};
 
 use super::{Gateway, lock};
 
@@ -21,32 +21,40 @@
         let fleet = lock(&self.fleet_repeats).get(pool).copied();
         let mut budgets = lock(&self.budgets);
         let budget = budgets.entry(pool.clone()).or_default();
-        budget.take(&limits, fleet.as_ref(), self.clock.now_ms())
+        budget.try_take(&limits, fleet.as_ref(), self.clock.now_ms())
     }
 
     /// This box's part of the bounds on repeats, by the number of boxes known.
-    fn repeat_limits(&self) -> RepeatLimits {
+    fn repeat_limits(&self) -> RetryLimits {
         let boxes = self.peers.fleet_size();
         self.settings.bounds.repeat_limits(boxes)
     }
 
     /// This box's own requests and repeats of the last seconds.
-    pub(super) fn own_repeats(&self) -> Repeats {
+    pub(super) fn own_repeats(&self) -> PoolRetryCounts {
         let limits = self.repeat_limits();
         let now_ms = self.clock.now_ms();
         let mut budgets = lock(&self.budgets);
         let counts = budgets.iter_mut();
         let counts = counts.map(|(pool, budget)| (pool.clone(), budget.counts(&limits, now_ms)));
         counts
-            .filter(|(_, counts)| *counts != RepeatCounts::default())
+            .filter(|(_, counts)| *counts != RetryCounts::default())
             .collect()
     }
 
     /// Takes in what all boxes counted.
-    pub(super) fn take_fleet_repeats(&self, repeats: Repeats) {
-        let told_at_ms = self.clock.now_ms();
+    pub(super) fn take_fleet_repeats(&self, repeats: PoolRetryCounts) {
+        let received_at_ms = self.clock.now_ms();
         let fleet = repeats.into_iter();
-        let fleet = fleet.map(|(pool, counts)| (pool, FleetCounts { counts, told_at_ms }));
+        let fleet = fleet.map(|(pool, counts)| {
+            (
+                pool,
+                FleetCounts {
+                    counts,
+                    received_at_ms,
+                },
+            )
+        });
         *lock(&self.fleet_repeats) = fleet.collect();
     }
 }
--- a/crates/ivyweir-gateway/src/sync/probe.rs
+++ b/crates/ivyweir-gateway/src/sync/probe.rs
@@ -1,6 +1,6 @@
 //! Trying the store from a box that follows another, where that does not renew the proof.
 
-use ivyweir_policy::gateway::proof::Proof;
+use ivyweir_policy::gateway::freshness::FreshnessProof;
 use ivyweir_policy::gateway::revision::Revision;
 use rand::Rng;
 use serde_json::json;
@@ -20,7 +20,7 @@
 pub(super) struct Probes {
     /// When the proof was last seen to be newer than before, and that one.
     renewed_at_ms: u64,
-    proof: Proof,
+    proof: FreshnessProof,
     /// Tries since then.
     count: u32,
     /// When the next of them is due.
@@ -34,7 +34,7 @@
     pub fn new(unrenewed_ms: u64, now_ms: u64) -> Self {
         Self {
             renewed_at_ms: now_ms,
-            proof: Proof::default(),
+            proof: FreshnessProof::default(),
             count: 0,
             next_at_ms: 0,
             unrenewed_ms,
@@ -46,7 +46,7 @@
         let Some(proven_at_ms) = proven_at_ms else {
             return;
         };
-        if self.proof.is_older_than(proven_at_ms) {
+        if self.proof.is_superseded_by(proven_at_ms) {
             self.proof.renew(proven_at_ms);
             self.renewed_at_ms = now_ms;
             self.count = 0;
--- a/crates/ivyweir-gateway/src/words.rs
+++ b/crates/ivyweir-gateway/src/words.rs
@@ -12,8 +12,10 @@
 use hyper::{Request, Response, StatusCode};
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::duty::usage::Telling;
+use ivyweir_policy::gateway::peer_report::{
+    PeerReport, PeerReportMessage, Work, add_retry_counts, add_tallies, subtract_work,
+};
 use ivyweir_policy::gateway::relay::{BoxRecord, polls};
-use ivyweir_policy::gateway::word::{Word, WordMessage, Work, add_repeats, add_tallies, without};
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
@@ -62,13 +64,13 @@
                 let message = own_message(&gateway, &relay.name, false, own, Telling::Rows);
                 tell(&gateway, &mut clients, &relay, &message).await;
                 let mut word = others_word(&gateway, |_| false);
-                word.work = without(word.work, &told);
+                word.work = subtract_work(word.work, &told);
                 word
             }
             None => {
                 tell_other_halls(&gateway, &mut clients).await;
                 let mut word = others_word(&gateway, |_| false);
-                add_repeats(&mut word.repeats, &gateway.own_word().repeats);
+                add_retry_counts(&mut word.repeats, &gateway.own_word().repeats);
                 word
             }
         };
@@ -108,7 +110,7 @@
     gateway: &Gateway,
     clients: &mut HashMap<SocketAddr, Client>,
     to: &BoxRecord,
-    message: &WordMessage,
+    message: &PeerReportMessage,
 ) {
     let client = clients
         .entry(to.peer_addr)
@@ -118,7 +120,7 @@
     } else {
         WORD_ANSWER_LIMIT
     };
-    let answer = box_call::post::<WordMessage>(client, WORD_PATH, message, limit).await;
+    let answer = box_call::post::<PeerReportMessage>(client, WORD_PATH, message, limit).await;
     let now_ms = gateway.clock.now_ms();
     match answer {
         Ok(answer) => {
@@ -136,7 +138,7 @@
 }
 
 /// Takes in what a box told.
-fn take_message(gateway: &Gateway, message: WordMessage, now_ms: u64) {
+fn take_message(gateway: &Gateway, message: PeerReportMessage, now_ms: u64) {
     if message.is_root && gateway.peers.yield_root(&message.from) {
         let detail = json!({"peer": message.from});
         gateway.log.line("root_yielded", detail);
@@ -157,13 +159,13 @@
 }
 
 /// What boxes other than `except` told.
-fn others_word(gateway: &Gateway, except: impl Fn(&str) -> bool) -> Word {
+fn others_word(gateway: &Gateway, except: impl Fn(&str) -> bool) -> PeerReport {
     let now_ms = gateway.clock.now_ms();
     gateway.peers.words_except(except, now_ms)
 }
 
 /// What this box and those of its hall that tell it have to say.
-fn hall_word(gateway: &Gateway) -> Word {
+fn hall_word(gateway: &Gateway) -> PeerReport {
     let hall = &gateway.settings.hall;
     let mut word = others_word(gateway, |from| !gateway.peers.is_of_hall(from, hall));
     word.add(&gateway.own_word());
@@ -171,16 +173,16 @@
 }
 
 /// What a box of this hall is told: all work and repeats, its own included, and the counts of all others.
-fn word_for(gateway: &Gateway, asker: &Name, now_ms: u64) -> Word {
+fn word_for(gateway: &Gateway, asker: &Name, now_ms: u64) -> PeerReport {
     let own = gateway.own_word();
     let (work, repeats) = gateway.peers.fleet_sum(FLEET_SUM_MAX_AGE_MS, now_ms, &own);
     let mut tallies = gateway.peers.tallies_except(asker, now_ms);
     add_tallies(&mut tallies, &own.tallies);
-    Word {
+    PeerReport {
         work,
         tallies,
         repeats,
-        ..Word::default()
+        ..PeerReport::default()
     }
 }
 
@@ -189,10 +191,10 @@
     gateway: &Gateway,
     to: &Name,
     for_hall: bool,
-    word: Word,
+    word: PeerReport,
     telling: Telling,
-) -> WordMessage {
-    WordMessage {
+) -> PeerReportMessage {
+    PeerReportMessage {
         from: gateway.settings.box_name.clone(),
         for_hall,
         is_root: gateway.histories.is_root(),
@@ -207,7 +209,7 @@
 
 /// Answers a box that tells its word with what it should know of the others.
 pub async fn answer(gateway: &Gateway, request: Request<Incoming>) -> Response<AnswerBody> {
-    let message = box_call::read_message::<WordMessage>(request, MAX_MESSAGE_BYTES);
+    let message = box_call::read_message::<PeerReportMessage>(request, MAX_MESSAGE_BYTES);
     let Some(message) = message.await else {
         return bare(StatusCode::BAD_REQUEST);
     };
--- a/crates/ivyweir-gateway/tests/clock.rs
+++ b/crates/ivyweir-gateway/tests/clock.rs
@@ -6,7 +6,7 @@
 
 use ivyweir_gateway::clock::{Clock, Suspension, TimeSource};
 use ivyweir_policy::gateway::cold::RecentSends;
-use ivyweir_policy::gateway::proof::Proof;
+use ivyweir_policy::gateway::freshness::FreshnessProof;
 
 /// The time of a machine that tests suspend.
 #[derive(Default)]
@@ -34,7 +34,7 @@
 #[test]
 fn a_proof_is_as_old_as_the_suspension_made_it() {
     let (machine, clock) = machine();
-    let mut proof = Proof::default();
+    let mut proof = FreshnessProof::default();
     proof.renew(clock.now_ms().cast_signed());
     // A key may be withdrawn meanwhile; the bound on that is 5 s.
     machine.pass(4_900);
--- /dev/null
+++ b/crates/ivyweir-policy/src/gateway/peer_report.rs
@@ -0,0 +1,189 @@
+//! Periodic reports between boxes: work in progress, tallies of answers during a roll-out, and retry counts.
+
+use std::collections::HashMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::Name;
+use crate::gateway::duty::usage::UsageNews;
+use crate::gateway::limit::ToldLimit;
+use crate::gateway::quarantine::LedgerNews;
+use crate::gateway::retry_budget::RetryCounts;
+use crate::gateway::verdict::{Tally, add_tally};
+
+/// Age from which a report is ignored.
+const REPORT_MAX_AGE_MS: u64 = 1_200;
+
+/// Work in progress in milliseconds of upstream time, by upstream.
+pub type Work = HashMap<Name, f64>;
+
+/// Requests and retries, by pool.
+pub type PoolRetryCounts = HashMap<Name, RetryCounts>;
+
+/// Requests in progress, by pool.
+pub type Running = HashMap<Name, u32>;
+
+/// Adds the retry counts `more` to `to`.
+pub fn add_retry_counts(to: &mut PoolRetryCounts, more: &PoolRetryCounts) {
+    for (pool, counts) in more {
+        to.entry(pool.clone()).or_default().add(*counts);
+    }
+}
+
+/// Report of one box, or the sum of the reports of several boxes.
+#[derive(Debug, Clone, Default, Serialize, Deserialize)]
+pub struct PeerReport {
+    /// Work in progress.
+    pub work: Work,
+    /// Tallies of answers, by pool, for pools with a roll-out in progress.
+    pub tallies: HashMap<Name, Tally>,
+    /// Requests and retries of the last window, by pool.
+    #[serde(default)]
+    pub repeats: PoolRetryCounts,
+    /// Requests in progress, by pool, for pools whose upstreams are scaled by demand.
+    #[serde(default, skip_serializing_if = "HashMap::is_empty")]
+    pub running: Running,
+}
+
+impl PeerReport {
+    /// Adds another report.
+    pub fn add(&mut self, more: &Self) {
+        add_work(&mut self.work, &more.work);
+        add_tallies(&mut self.tallies, &more.tallies);
+        add_retry_counts(&mut self.repeats, &more.repeats);
+        for (pool, running) in &more.running {
+            *self.running.entry(pool.clone()).or_default() += running;
+        }
+    }
+}
+
+/// Adds the work `more` to `to`.
+pub fn add_work(to: &mut Work, more: &Work) {
+    for (upstream, work_ms) in more {
+        *to.entry(upstream.clone()).or_default() += work_ms;
+    }
+}
+
+/// Adds the tallies `more` to `to`.
+pub fn add_tallies(to: &mut HashMap<Name, Tally>, more: &HashMap<Name, Tally>) {
+    for (pool, tally) in more {
+        add_tally(to.entry(pool.clone()).or_default(), tally);
+    }
+}
+
+/// Subtracts the work that a box reported itself from the total of all boxes.
+pub fn subtract_work(mut total: Work, own: &Work) -> Work {
+    for (upstream, own_ms) in own {
+        if let Some(work_ms) = total.get_mut(upstream) {
+            *work_ms = (*work_ms - own_ms).max(0.0);
+        }
+    }
+    total
+}
+
+/// Latest reports received from other boxes, by sender.
+#[derive(Debug, Default)]
+pub struct PeerReports {
+    received: HashMap<Name, ReceivedReport>,
+}
+
+#[derive(Debug)]
+struct ReceivedReport {
+    report: PeerReport,
+    at_ms: u64,
+}
+
+impl ReceivedReport {
+    fn is_fresh(&self, now_ms: u64) -> bool {
+        self.at_ms + REPORT_MAX_AGE_MS > now_ms
+    }
+}
+
+impl PeerReports {
+    /// Stores the report of a box, or of a relay on behalf of several boxes.
+    pub fn insert(&mut self, from: &Name, report: PeerReport, now_ms: u64) {
+        self.received.insert(
+            from.clone(),
+            ReceivedReport {
+                report,
+                at_ms: now_ms,
+            },
+        );
+        self.received
+            .retain(|_, received| received.is_fresh(now_ms));
+    }
+
+    /// Senders of current reports.
+    pub fn recent_senders(&self, now_ms: u64) -> Vec<Name> {
+        let fresh = self
+            .received
+            .iter()
+            .filter(|(_, received)| received.is_fresh(now_ms));
+        fresh.map(|(from, _)| from.clone()).collect()
+    }
+
+    /// Sums of the work and the retry counts in current reports.
+    pub fn work_and_retries(&self, now_ms: u64) -> (Work, PoolRetryCounts) {
+        let (mut work, mut retries) = (Work::new(), PoolRetryCounts::new());
+        for received in self
+            .received
+            .values()
+            .filter(|received| received.is_fresh(now_ms))
+        {
+            add_work(&mut work, &received.report.work);
+            add_retry_counts(&mut retries, &received.report.repeats);
+        }
+        (work, retries)
+    }
+
+    /// Sum of the tallies in current reports of senders other than `except`.
+    pub fn tallies_except(&self, except: &str, now_ms: u64) -> HashMap<Name, Tally> {
+        let mut sum = HashMap::new();
+        let others = self.received.iter().filter(|(from, _)| &***from != except);
+        for received in others.map(|(_, received)| received) {
+            if received.is_fresh(now_ms) {
+                add_tallies(&mut sum, &received.report.tallies);
+            }
+        }
+        sum
+    }
+
+    /// Sum of the current reports of senders for which `except` is false.
+    pub fn sum_except(&self, except: impl Fn(&str) -> bool, now_ms: u64) -> PeerReport {
+        let mut sum = PeerReport::default();
+        let others = self.received.iter().filter(|(from, _)| !except(from));
+        for received in others.map(|(_, received)| received) {
+            if received.is_fresh(now_ms) {
+                sum.add(&received.report);
+            }
+        }
+        sum
+    }
+}
+
+/// A message from a box to its relay, or between relays.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub struct PeerReportMessage {
+    /// The sender.
+    pub from: Name,
+    /// Whether the report covers the whole hall of the sender.
+    pub for_hall: bool,
+    /// Whether the sender receives the store's records directly from the store.
+    pub is_root: bool,
+    /// Whether the sender currently receives the store's records from any source.
+    pub hears: bool,
+    /// The report.
+    pub word: PeerReport,
+    /// Incarnations of upstreams that recently announced their departure other than through the registry.
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    pub departures: Vec<Name>,
+    /// Rate limits for all boxes together that upstreams recently stated.
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    pub limits: Vec<ToldLimit>,
+    /// Update on requests during which upstreams terminated.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub quarantine: Option<LedgerNews>,
+    /// Update of the usage counts, if usage is reported.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub usage: Option<UsageNews>,
+}
--- a/crates/ivyweir-policy/src/gateway/revision.rs
+++ b/crates/ivyweir-policy/src/gateway/revision.rs
@@ -20,8 +20,8 @@
 pub struct Revision {
     /// Number of times the store had been restored from a backup.
     pub era: u64,
-    /// Whether operators and upstreams had had time to repeat the writes lost by the last restore. Records read
-    /// earlier may be incomplete and are read again.
+    /// Whether operators and upstreams had enough time to repeat the writes lost in the last restore. Records read
+    /// before that may be incomplete and are read again.
     pub is_settled: bool,
     /// Revision number that the store assigned.
     pub number: u64,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether this is revision 0 of era 0, which stands for a box that knows nothing yet.
+    /// Whether this is revision 0 of era 0, which denotes a box without any records.
     pub fn is_zero(self) -> bool {
         self.era == 0 && self.number == 0
     }
--- a/crates/ivyweir-policy/src/gateway/site.rs
+++ b/crates/ivyweir-policy/src/gateway/site.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, pools, limits and who may call.
+//! Site configuration of the gateway: routes, pools, caller limits and access control.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,25 +9,25 @@
 use crate::gateway::cold::ColdStart;
 use crate::gateway::duty::supply::Scaling;
 
-/// What may be done with a request of a route.
+/// Kind of a route, which determines how its requests are answered and whether they may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// Answered by a series of events.
+    /// Answered by a stream of events.
     Stream {
-        /// Whether another upstream may continue it behind an event.
+        /// Whether another upstream can resume the stream after a given event.
         resumable: bool,
-        /// Longest pause between events that still counts as in time.
+        /// Target for the maximum gap between events.
         gap_aim_ms: u64,
     },
-    /// May run more than once.
+    /// Safe to run more than once.
     Safe,
-    /// Runs at most once.
+    /// Must not run more than once.
     Unsafe,
 }
 
 impl RouteKind {
-    /// Whether a request may run again after it may have run.
+    /// Whether a request that may already have run can be run again.
     pub fn is_repeatable(self) -> bool {
         match self {
             Self::Stream { resumable, .. } => resumable,
@@ -36,50 +36,50 @@
         }
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A pool's part of a route's requests.
+/// Share of a route's requests that a pool receives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolShare {
-    /// The pool.
+    /// Name of the pool.
     pub pool: Name,
-    /// Its part relative to the other weights of the route.
+    /// Weight of the pool relative to the other pools of the route.
     pub weight: u32,
 }
 
-/// Where requests of a host and path go, and within which bounds.
+/// Routing rule for the requests of a host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Name,
-    /// The host it serves.
+    /// Host that the route matches.
     pub host: Name,
-    /// What its paths start with.
+    /// Path prefix that the route matches.
     pub path_prefix: Name,
-    /// What may be done with its requests.
+    /// Kind of the route.
     pub kind: RouteKind,
-    /// Longest time for which a request is held.
+    /// Maximum time for which a request is held.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most.
+    /// Target latency of answers.
     pub latency_aim_ms: u64,
-    /// Rank, 0 first.
+    /// Priority of requests; 0 is the highest.
     pub priority: u8,
-    /// Models to choose from, smallest first; empty where the caller names it.
+    /// Models to choose from, smallest first. Empty if the caller names the model.
     pub models: Vec<Name>,
-    /// Pools that serve it.
+    /// Pools that serve the route.
     pub pools: Vec<PoolShare>,
-    /// Largest number of upstreams one request may be sent to.
+    /// Maximum number of upstreams that one request is sent to.
     pub max_attempts: u32,
-    /// Whether no key is needed.
+    /// Whether requests without a key are accepted.
     pub anonymous: bool,
 }
 
 impl Route {
-    /// The pool for a request; `draw` is spread evenly over all of `u64`.
+    /// Selects a pool by weight. `draw` is uniformly distributed over `u64`. Returns `None` if all weights are 0.
     pub fn pool(&self, draw: u64) -> Option<&Name> {
         let total: u64 = self.pools.iter().map(|s| u64::from(s.weight)).sum();
         let mut rest = draw.checked_rem(total)?;
@@ -94,84 +94,84 @@
     }
 }
 
-/// A group of upstreams that serve the same.
+/// Group of interchangeable upstreams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PoolSpec {
-    /// Its name.
+    /// Name of the pool.
     pub name: Name,
-    /// Connections that one of its upstreams accepts from all callers.
+    /// Maximum number of connections that each upstream accepts, over all callers.
     pub max_connections: u32,
-    /// Whether its upstreams are model engines.
+    /// Whether the upstreams are model engines.
     pub is_engine: bool,
-    /// How its upstreams are cold after their start, if they are.
+    /// Cold-start behaviour of the upstreams, if they have a cold start.
     #[serde(default)]
     pub cold_start: Option<ColdStart>,
-    /// How many upstreams may be ordered, where the platform starts and ends them on order.
+    /// Scaling limits, if the platform starts and stops upstreams on order.
     #[serde(default)]
     pub scaling: Option<Scaling>,
 }
 
-/// Bounds on what callers send.
+/// Limits on callers' connections and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// Time for a request's head to arrive.
+    /// Time limit for receiving a request's head.
     pub header_timeout_ms: u64,
     /// Time after which an idle connection is closed.
     pub idle_timeout_ms: u64,
 }
 
-/// A customer and its keys.
+/// Customer with its API keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: Name,
-    /// Keys of its callers.
+    /// API keys that belong to the workspace.
     pub keys: Vec<Name>,
-    /// Rank of its requests, in place of the route's.
+    /// Priority of its requests, overriding that of the route.
     pub priority: Option<u8>,
 }
 
-/// One version of the whole configuration.
+/// One version of the complete site configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Site {
-    /// Grows with every version.
+pub struct SiteConfig {
+    /// Version number, which increases with every change.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Arc<Route>>,
     /// All pools.
     pub pools: Vec<PoolSpec>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: Option<CallerLimits>,
-    /// Customers; none where keys are not asked for.
+    /// Customers. Empty if no keys are required.
     pub workspaces: Vec<Arc<Workspace>>,
 }
 
-/// Who calls.
+/// Result of the access check of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Access {
-    /// Nobody in particular, and that is allowed.
+    /// Allowed without a key.
     Anonymous,
-    /// A caller of this workspace.
+    /// Allowed as a caller of this workspace.
     Workspace(Arc<Workspace>),
-    /// Somebody who may not.
+    /// Rejected.
     Denied,
 }
 
-/// A [`Site`] with the indexes that requests need.
+/// A [`SiteConfig`] with indexes for request lookups.
 #[derive(Debug, Default)]
 pub struct SiteIndex {
-    site: Site,
+    site: SiteConfig,
     routes_by_host: HashMap<Name, Vec<Arc<Route>>>,
     workspaces_by_key: HashMap<Name, Arc<Workspace>>,
     pools: HashMap<Name, PoolSpec>,
 }
 
-impl From<Site> for SiteIndex {
-    fn from(site: Site) -> Self {
+impl From<SiteConfig> for SiteIndex {
+    fn from(site: SiteConfig) -> Self {
         let mut routes_by_host: HashMap<Name, Vec<Arc<Route>>> = HashMap::new();
         for route in &site.routes {
             let routes = routes_by_host.entry(route.host.clone()).or_default();
@@ -197,8 +197,8 @@
 }
 
 impl SiteIndex {
-    /// The configuration itself.
-    pub fn site(&self) -> &Site {
+    /// The indexed configuration.
+    pub fn site(&self) -> &SiteConfig {
         &self.site
     }
 
@@ -213,12 +213,12 @@
         routes.iter().find(|r| path.starts_with(&*r.path_prefix))
     }
 
-    /// Whether requests of `route` must carry a key.
+    /// Whether requests to `route` must carry a key.
     pub fn needs_key(&self, route: &Route) -> bool {
         !route.anonymous && !self.site.workspaces.is_empty()
     }
 
-    /// Who calls `route` with `key`.
+    /// Checks the access of a request to `route` with `key`.
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access {
         if self.site.workspaces.is_empty() {
             return Access::Anonymous;
--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -20,9 +20,9 @@
 use crate::gateway::fleet::{Fleet, Standing, UpstreamRecord};
 use crate::gateway::limit::Limit;
 use crate::gateway::owners::Sharing;
+use crate::gateway::peer_report::Work;
 use crate::gateway::place::UpstreamLoad;
 use crate::gateway::rollout::{RolloutState, Side};
-use crate::gateway::word::Work;
 use crate::rank::hash64;
 
 pub use heard::Heard;
--- a/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
@@ -5,8 +5,8 @@
 use crate::Name;
 use crate::gateway::duty::supply::HallSupply;
 use crate::gateway::fleet::Standing;
+use crate::gateway::peer_report::Running;
 use crate::gateway::upstreams::Upstreams;
-use crate::gateway::word::Running;
 
 impl Upstreams {
     /// A pool's upstreams that serve and are not cold, by hall, and the most requests that one of them works on.
--- a/crates/ivyweir-policy/tests/gateway_copies.rs
+++ b/crates/ivyweir-policy/tests/gateway_copies.rs
@@ -4,7 +4,7 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::copies::{CopySource, CopyTransfers};
-use ivyweir_policy::gateway::word::{OthersWords, Word, Work, without};
+use ivyweir_policy::gateway::peer_report::{PeerReport, PeerReports, Work, subtract_work};
 
 fn name(n: usize) -> Name {
     format!("box-{n}").into()
@@ -105,20 +105,20 @@
 #[test]
 fn a_box_takes_its_own_work_off_the_sum() {
     let sum = work(&[("u1", 30.0), ("u2", 5.0)]);
-    let others = without(sum, &work(&[("u1", 10.0), ("u2", 7.0), ("u3", 1.0)]));
+    let others = subtract_work(sum, &work(&[("u1", 10.0), ("u2", 7.0), ("u3", 1.0)]));
     assert_eq!(others, work(&[("u1", 20.0), ("u2", 0.0)]));
 }
 
 #[test]
 fn a_sum_of_work_holds_what_all_told_lately() {
-    let mut words = OthersWords::default();
+    let mut words = PeerReports::default();
     for (n, at_ms) in [(0, 0), (1, 1_000), (2, 1_500)] {
-        let word = Word {
+        let word = PeerReport {
             work: work(&[("u1", 10.0)]),
-            ..Word::default()
+            ..PeerReport::default()
         };
-        words.put(&name(n), word, at_ms);
+        words.insert(&name(n), word, at_ms);
     }
-    let (sum, _) = words.work_and_repeats(1_600);
+    let (sum, _) = words.work_and_retries(1_600);
     assert_eq!(sum, work(&[("u1", 20.0)]));
 }
--- a/crates/ivyweir-policy/tests/gateway_decisions.rs
+++ b/crates/ivyweir-policy/tests/gateway_decisions.rs
@@ -6,11 +6,11 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, Doubt, escalate};
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange, UpstreamRecord};
+use ivyweir_policy::gateway::freshness::FreshnessProof;
 use ivyweir_policy::gateway::place::{Ask, Candidate, UpstreamLoad, choose};
-use ivyweir_policy::gateway::proof::Proof;
-use ivyweir_policy::gateway::repeat::{RepeatBudget, RepeatLimits};
+use ivyweir_policy::gateway::retry_budget::{RetryBudget, RetryLimits};
 use ivyweir_policy::gateway::site::{
-    Access, PoolShare, Route, RouteKind, Site, SiteIndex, Workspace,
+    Access, PoolShare, Route, RouteKind, SiteConfig, SiteIndex, Workspace,
 };
 use ivyweir_policy::gateway::work::{Tokens, estimate};
 
@@ -46,11 +46,11 @@
         keys: vec!["k".into()],
         priority: None,
     };
-    SiteIndex::from(Site {
+    SiteIndex::from(SiteConfig {
         version: 1,
         routes: vec![route("/", false), route("/a/", true), route("/a/b/", false)],
         workspaces: vec![Arc::new(workspace)],
-        ..Site::default()
+        ..SiteConfig::default()
     })
 }
 
@@ -307,22 +307,22 @@
     assert_eq!(escalate(&doubt), None);
 }
 
-const LIMITS: RepeatLimits = RepeatLimits {
+const LIMITS: RetryLimits = RetryLimits {
     ratio: 0.5,
     slack: 1.0,
     fleet_slack: 20.0,
     window_ms: 10_000,
 };
 
-fn taken(budget: &mut RepeatBudget, now_ms: u64) -> usize {
+fn taken(budget: &mut RetryBudget, now_ms: u64) -> usize {
     (0..100)
-        .filter(|_| budget.take(&LIMITS, None, now_ms))
+        .filter(|_| budget.try_take(&LIMITS, None, now_ms))
         .count()
 }
 
 #[test]
 fn repeats_keep_to_their_share_of_a_sliding_window() {
-    let mut budget = RepeatBudget::default();
+    let mut budget = RetryBudget::default();
     assert_eq!(taken(&mut budget, 0), 1, "the slack");
     (0..10).for_each(|_| budget.count_request(&LIMITS, 100));
     assert_eq!(taken(&mut budget, 200), 5, "half of ten requests");
@@ -332,7 +332,7 @@
 
 #[test]
 fn a_proof_never_grows_older_by_an_older_answer() {
-    let mut proof = Proof::default();
+    let mut proof = FreshnessProof::default();
     assert!(!proof.is_younger_than(1_000, 0), "no proof is none");
     proof.renew(5_000);
     proof.renew(3_000);
@@ -343,7 +343,7 @@
 
 #[test]
 fn a_proof_may_be_older_than_the_box_that_hears_of_it() {
-    let mut proof = Proof::default();
+    let mut proof = FreshnessProof::default();
     proof.renew(-400);
     assert_eq!(proof.age_ms(200), Some(600));
     assert!(proof.is_younger_than(1_000, 200));
@@ -354,21 +354,21 @@
 
 #[test]
 fn the_same_proof_told_again_is_not_a_newer_one() {
-    let mut proof = Proof::default();
-    assert!(proof.is_older_than(-400), "there was none");
+    let mut proof = FreshnessProof::default();
+    assert!(proof.is_superseded_by(-400), "there was none");
     proof.renew(-400);
-    assert!(!proof.is_older_than(-500));
-    assert!(!proof.is_older_than(-400));
+    assert!(!proof.is_superseded_by(-500));
+    assert!(!proof.is_superseded_by(-400));
     assert!(
-        !proof.is_older_than(-380),
+        !proof.is_superseded_by(-380),
         "the way of the question differs"
     );
-    assert!(proof.is_older_than(-350));
+    assert!(proof.is_superseded_by(-350));
 }
 
 #[test]
 fn a_proof_as_old_as_can_be_told_is_no_proof() {
-    let mut proof = Proof::default();
+    let mut proof = FreshnessProof::default();
     proof.renew(i64::MIN);
     assert!(!proof.is_younger_than(u64::MAX / 4, 200));
 }
--- a/crates/ivyweir-policy/tests/gateway_repeats.rs
+++ b/crates/ivyweir-policy/tests/gateway_repeats.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use ivyweir_policy::gateway::repeat::{FleetCounts, RepeatBudget, RepeatCounts, RepeatLimits};
+use ivyweir_policy::gateway::retry_budget::{FleetCounts, RetryBudget, RetryCounts, RetryLimits};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -31,8 +31,8 @@
     most: f64,
 }
 
-fn limits(boxes: usize) -> RepeatLimits {
-    RepeatLimits {
+fn limits(boxes: usize) -> RetryLimits {
+    RetryLimits {
         ratio: RATIO * 0.85,
         slack: SLACK / boxes.max(20) as f64,
         fleet_slack: SLACK,
@@ -43,12 +43,12 @@
 fn play(load: Load) -> Outcome {
     let limits = limits(load.boxes);
     let mut rng = StdRng::seed_from_u64(27);
-    let mut budgets = vec![RepeatBudget::default(); load.boxes];
-    let mut told: VecDeque<(u64, RepeatCounts)> = VecDeque::new();
+    let mut budgets = vec![RetryBudget::default(); load.boxes];
+    let mut told: VecDeque<(u64, RetryCounts)> = VecDeque::new();
     let mut steps: Vec<(u32, u32)> = Vec::new();
     let (mut asked, mut denied) = (0_u32, 0_u32);
     for now_ms in (0..60_000).step_by(STEP_MS as usize) {
-        let mut sum = RepeatCounts::default();
+        let mut sum = RetryCounts::default();
         for budget in &mut budgets {
             sum.add(budget.counts(&limits, now_ms));
         }
@@ -60,7 +60,7 @@
         let heard = told.front().filter(|(at_ms, _)| is_told(*at_ms));
         let fleet = heard.map(|(_, counts)| FleetCounts {
             counts: *counts,
-            told_at_ms: now_ms,
+            received_at_ms: now_ms,
         });
         let mut step = (0, 0);
         let expected = load.requests_per_s * STEP_MS as f64 / 1_000.0;
@@ -75,7 +75,7 @@
                     break;
                 }
                 asked += 1;
-                if !budgets[at].take(&limits, fleet.as_ref(), now_ms) {
+                if !budgets[at].try_take(&limits, fleet.as_ref(), now_ms) {
                     denied += 1;
                     break;
                 }
--- a/crates/ivyweir-standins/src/edge/record_store.rs
+++ b/crates/ivyweir-standins/src/edge/record_store.rs
@@ -18,7 +18,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::rollout::{RolloutOrder, RolloutState};
-use ivyweir_policy::gateway::site::Site;
+use ivyweir_policy::gateway::site::SiteConfig;
 use serde_json::Value;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
@@ -113,7 +113,7 @@
     }
 
     /// Writes a configuration.
-    pub fn put_site(&self, site: &Site) {
+    pub fn put_site(&self, site: &SiteConfig) {
         self.put(
             Topic::Site,
             "main".into(),
--- a/crates/ivyweir-standins/src/edge/town.rs
+++ b/crates/ivyweir-standins/src/edge/town.rs
@@ -17,7 +17,7 @@
 use hyper::{HeaderMap, Request, Response};
 use hyper_util::rt::TokioIo;
 use ivyweir_policy::gateway::site::{
-    CallerLimits, PoolShare, PoolSpec, Route, RouteKind, Site, Workspace,
+    CallerLimits, PoolShare, PoolSpec, Route, RouteKind, SiteConfig, Workspace,
 };
 use serde_json::{Value, json};
 use tokio::net::{TcpListener, TcpStream};
@@ -181,7 +181,7 @@
 }
 
 /// A configuration with a route of each kind, and a workspace with these keys.
-pub fn site(version: u64, keys: &[&str]) -> Site {
+pub fn site(version: u64, keys: &[&str]) -> SiteConfig {
     let route = |name: &str, kind: RouteKind, pool: &str, max_attempts: u32| {
         Arc::new(Route {
             name: name.into(),
@@ -213,7 +213,7 @@
         cold_start: None,
         scaling: None,
     };
-    Site {
+    SiteConfig {
         version,
         routes: vec![
             route("safe", RouteKind::Safe, "services", 2),
--- a/crates/ivyweird/tests/gateway_drains.rs
+++ b/crates/ivyweird/tests/gateway_drains.rs
@@ -5,7 +5,7 @@
 
 use ivyweir_policy::gateway::cold::ColdStart;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
-use ivyweir_policy::gateway::site::Site;
+use ivyweir_policy::gateway::site::SiteConfig;
 use ivyweir_standins::edge::{
     Act, KEY, Reply, ScriptedUpstream, StoreFault, Town, eventually, get, post_stream, site,
 };
@@ -263,7 +263,7 @@
 }
 
 /// A configuration whose plain upstreams bear two requests a second for 2 s after their start.
-fn cold_site(version: u64) -> Site {
+fn cold_site(version: u64) -> SiteConfig {
     let mut site = site(version, &[KEY]);
     for pool in &mut site.pools {
         pool.cold_start = Some(ColdStart {
