--- a/crates/ivyweir-gateway/src/dialect.rs
+++ b/crates/ivyweir-gateway/src/dialect.rs
@@ -10,7 +10,7 @@
 use hyper::header::HeaderName;
 use hyper::{HeaderMap, Request};
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::duty::supply::UpstreamOrder;
+use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use ivyweir_policy::gateway::duty::usage::UsageReport;
 use ivyweir_policy::gateway::duty::{DutyRecord, StoredDuties};
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
--- a/crates/ivyweir-gateway/src/duties.rs
+++ b/crates/ivyweir-gateway/src/duties.rs
@@ -15,7 +15,7 @@
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::duty::DutyRecord;
 use ivyweir_policy::gateway::duty::lease::{Lease, LeaseStep, LeaseTerms};
-use ivyweir_policy::gateway::duty::supply::{SupplyPlanner, UpstreamOrder};
+use ivyweir_policy::gateway::duty::scaling::{ScalingPlanner, UpstreamOrder};
 use ivyweir_policy::gateway::duty::usage::UsageReport;
 use serde_json::json;
 use tokio::time::sleep;
@@ -64,7 +64,7 @@
     accepted: BTreeSet<u64>,
     /// Orders that were written down and not sent yet.
     unsent: Vec<UpstreamOrder>,
-    planners: HashMap<Name, SupplyPlanner>,
+    planners: HashMap<Name, ScalingPlanner>,
 }
 
 /// What is to be written to the record.
@@ -88,7 +88,7 @@
         record.fixed_window = newest.max(record.fixed_window);
         record.reports.extend(self.reports);
         for order in self.orders {
-            record.orders.retain(|known| !known.is_about(&order));
+            record.orders.retain(|known| !known.has_same_scope(&order));
             record.orders.push(order);
         }
     }
@@ -129,7 +129,7 @@
         match self.lease.step(now_ms) {
             LeaseStep::Read => self.read().await,
             LeaseStep::Wait => Ok(()),
-            LeaseStep::Take => {
+            LeaseStep::TakeOver => {
                 self.write(News::default()).await?;
                 self.log_holder();
                 Ok(())
@@ -146,7 +146,7 @@
             orders: self.plan(now_ms),
         };
         self.unsent
-            .retain(|order| !news.orders.iter().any(|newer| newer.is_about(order)));
+            .retain(|order| !news.orders.iter().any(|newer| newer.has_same_scope(order)));
         self.unsent.extend(news.orders.iter().cloned());
         let has_calls = !self.unsent.is_empty() || self.open_reports().next().is_some();
         if !news.is_empty() || has_calls && self.lease.fence(now_ms).is_none() {
@@ -209,7 +209,7 @@
             status => return Err(CallError::refused(status)),
         };
         self.lease
-            .see(stored, answer.era, self.gateway.clock.now_ms());
+            .observe(stored, answer.era, self.gateway.clock.now_ms());
         if let Some(window) = self.lease.record().and_then(|record| record.fixed_window) {
             self.gateway.note_fixed_usage_window(window);
         }
--- a/crates/ivyweir-gateway/src/duties/calls.rs
+++ b/crates/ivyweir-gateway/src/duties/calls.rs
@@ -51,7 +51,7 @@
             if status == StatusCode::CONFLICT {
                 let now_ms = self.gateway.clock.now_ms();
                 let planner = self.planners.entry(order.pool.clone()).or_default();
-                planner.refused(&order, now_ms);
+                planner.record_refusal(&order, now_ms);
             } else if !status.is_success() {
                 return self.refused(status);
             }
@@ -63,7 +63,7 @@
     fn refused(&mut self, status: StatusCode) -> Result<(), CallError> {
         // A busy platform says nothing of the fence.
         if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
-            self.lease.doubt();
+            self.lease.invalidate();
         }
         Err(CallError::refused(status))
     }
--- a/crates/ivyweir-gateway/src/duties/orders.rs
+++ b/crates/ivyweir-gateway/src/duties/orders.rs
@@ -1,6 +1,6 @@
 //! Which upstreams the holder orders.
 
-use ivyweir_policy::gateway::duty::supply::UpstreamOrder;
+use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use serde_json::json;
 
 use super::Worker;
@@ -38,7 +38,7 @@
                     "pool": order.pool, "hall": order.hall, "spot": order.is_spot,
                     "count": order.count, "running": running,
                     "needed": planner.needed(&view),
-                    "serving": view.supply.get(&order.hall).map(|s| [s.lasting, s.spot]),
+                    "serving": view.capacity.get(&order.hall).map(|s| [s.on_demand, s.spot]),
                 });
                 self.gateway.log.line("upstreams_planned", detail);
             }
--- a/crates/ivyweir-gateway/src/native.rs
+++ b/crates/ivyweir-gateway/src/native.rs
@@ -4,7 +4,7 @@
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Method, Request};
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::duty::supply::UpstreamOrder;
+use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use ivyweir_policy::gateway::duty::usage::UsageReport;
 use ivyweir_policy::gateway::duty::{DutyRecord, StoredDuties};
 use ivyweir_policy::gateway::quarantine::{Fingerprint, QuarantineRecord};
--- a/crates/ivyweir-gateway/src/state/supply.rs
+++ b/crates/ivyweir-gateway/src/state/supply.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::duty::supply::{PoolView, Scaling, UpstreamOrder};
+use ivyweir_policy::gateway::duty::scaling::{PoolView, Scaling, UpstreamOrder};
 
 use super::{Gateway, lock};
 
@@ -37,7 +37,7 @@
             scaling,
             drained_halls,
             is_rolling_out: self.is_rolling_out(pool),
-            supply,
+            capacity: supply,
             slots,
             running,
             orders,
--- a/crates/ivyweir-gateway/src/state/usage.rs
+++ b/crates/ivyweir-gateway/src/state/usage.rs
@@ -1,9 +1,11 @@
 //! Requests that began, counted for reports of usage.
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::duty::epoch::SteadyEpoch;
 use ivyweir_policy::gateway::duty::report::UsageTerms;
-use ivyweir_policy::gateway::duty::usage::{BoxRun, Counts, Telling, UsageNews, UsageTable};
+use ivyweir_policy::gateway::duty::usage::{
+    BoxRun, Counts, UpdateContent, UsageTable, UsageUpdate,
+};
+use ivyweir_policy::gateway::duty::wall_clock::StableWallClock;
 
 use super::{Gateway, lock};
 use crate::clock;
@@ -12,7 +14,7 @@
 /// What this box knows of usage; nothing is counted where none is reported.
 pub(super) struct UsageCount {
     terms: Option<UsageTerms>,
-    epoch: SteadyEpoch,
+    epoch: StableWallClock,
     table: UsageTable,
 }
 
@@ -22,7 +24,7 @@
         let usage = settings.duties.and_then(|duties| duties.usage);
         Self {
             terms: usage.map(|usage| usage.terms()),
-            epoch: SteadyEpoch::default(),
+            epoch: StableWallClock::default(),
             table: UsageTable::new(BoxRun {
                 name: settings.box_name.clone(),
                 run,
@@ -69,17 +71,17 @@
     }
 
     /// What another box is to be told of usage.
-    pub fn usage_news_for(&self, peer: &Name, telling: Telling) -> Option<UsageNews> {
+    pub fn usage_news_for(&self, peer: &Name, telling: UpdateContent) -> Option<UsageUpdate> {
         let now_ms = self.clock.now_ms();
         let mut usage = lock(&self.usage);
         usage.terms?;
-        usage.table.news_for(peer, telling, now_ms)
+        usage.table.update_for(peer, telling, now_ms)
     }
 
     /// Takes in what another box told of usage; `is_near` says that it is of this hall.
-    pub fn hear_usage(&self, peer: &Name, news: UsageNews, is_near: bool) {
+    pub fn hear_usage(&self, peer: &Name, news: UsageUpdate, is_near: bool) {
         let now_ms = self.clock.now_ms();
-        lock(&self.usage).table.hear(peer, news, is_near, now_ms);
+        lock(&self.usage).table.apply(peer, news, is_near, now_ms);
     }
 
     /// Forgets windows that are long past.
@@ -88,7 +90,7 @@
         if let Some(terms) = usage.terms {
             let oldest = terms.oldest_kept(self.epoch_ms(&mut usage));
             let now_ms = self.clock.now_ms();
-            usage.table.forget_before(oldest, now_ms);
+            usage.table.discard_before(oldest, now_ms);
         }
     }
 
--- a/crates/ivyweir-gateway/src/words.rs
+++ b/crates/ivyweir-gateway/src/words.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::duty::usage::Telling;
+use ivyweir_policy::gateway::duty::usage::UpdateContent;
 use ivyweir_policy::gateway::peer_report::{
     PeerReport, PeerReportMessage, Work, add_retry_counts, add_tallies, subtract_work,
 };
@@ -61,7 +61,7 @@
             Some(relay) => {
                 let own = gateway.own_word();
                 let told = std::mem::replace(&mut last_told, own.work.clone());
-                let message = own_message(&gateway, &relay.name, false, own, Telling::Rows);
+                let message = own_message(&gateway, &relay.name, false, own, UpdateContent::Rows);
                 tell(&gateway, &mut clients, &relay, &message).await;
                 let mut word = others_word(&gateway, |_| false);
                 word.work = subtract_work(word.work, &told);
@@ -99,7 +99,7 @@
         // Each pair of relays talks once a round; whoever hears from the other must notice its loss.
         if polls(own_hall, &hall) || root.as_ref() == Some(&relay) {
             let word = hall_word(gateway);
-            let message = own_message(gateway, &relay.name, true, word, Telling::Rows);
+            let message = own_message(gateway, &relay.name, true, word, UpdateContent::Rows);
             tell(gateway, clients, &relay, &message).await;
         }
     }
@@ -192,7 +192,7 @@
     to: &Name,
     for_hall: bool,
     word: PeerReport,
-    telling: Telling,
+    telling: UpdateContent,
 ) -> PeerReportMessage {
     PeerReportMessage {
         from: gateway.settings.box_name.clone(),
@@ -223,9 +223,9 @@
     take_message(gateway, message, now_ms);
     // Boxes of the hall sum nothing up.
     let telling = if for_hall {
-        Telling::Rows
+        UpdateContent::Rows
     } else {
-        Telling::Heard
+        UpdateContent::AckOnly
     };
     answer::message(&own_message(gateway, &asker, for_hall, word, telling))
 }
--- a/crates/ivyweir-policy/src/gateway/duty.rs
+++ b/crates/ivyweir-policy/src/gateway/duty.rs
@@ -1,40 +1,39 @@
-//! Duties that one box at a time does for all: reporting usage, and ordering upstreams.
+//! Duties that a single elected box performs for the whole fleet: reporting usage and ordering upstreams.
 //!
-//! A record in the store names the holder, under a fence that rises with each change of holder. It also
-//! keeps what the next holder must repeat or know: reports that are fixed but may not have been accepted,
-//! and the orders in force. Whoever may write the record conditionally is the holder; nothing else is
-//! agreed between boxes.
+//! A record in the store names the holder and its fencing token, which increases with each change of holder. The record
+//! also contains the state that the next holder needs: fixed reports that may not have been accepted yet, and the orders
+//! in force. The box whose conditional write of the record succeeds is the holder. Boxes need no other agreement.
 
-pub mod epoch;
 pub mod lease;
 pub mod report;
-pub mod supply;
+pub mod scaling;
 pub mod usage;
+pub mod wall_clock;
 
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use supply::UpstreamOrder;
+use scaling::UpstreamOrder;
 use usage::UsageReport;
 
-/// What the store keeps of the duties.
+/// State of the duties in the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyRecord {
-    /// The box that holds them.
+    /// Box that holds the duties.
     pub holder: Name,
-    /// Differs between runs of a holder's process: one that starts again has forgotten what it sent.
+    /// Identifier of the holder's process run. After a restart the holder no longer knows what it sent.
     pub run: u64,
-    /// Rises with each change of holder or run.
+    /// Fencing token, which increases with each change of holder or run.
     pub fence: u64,
-    /// Writes under this fence, so that each renewal changes the record.
+    /// Number of renewals under this fence, so that each renewal changes the record.
     pub renewals: u64,
-    /// The newest window whose report is fixed.
+    /// Newest window whose report is fixed.
     #[serde(default)]
     pub fixed_window: Option<u64>,
     /// Fixed reports that may not have been accepted yet, oldest first.
     #[serde(default)]
     pub reports: Vec<UsageReport>,
-    /// The last order of each kind of upstream in each hall.
+    /// Latest order for each pool, hall and spot type.
     #[serde(default)]
     pub orders: Vec<UpstreamOrder>,
 }
@@ -46,11 +45,11 @@
     }
 }
 
-/// A record and the store's revision of it.
+/// A duty record with its revision in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredDuties {
     /// The record.
     pub record: DutyRecord,
-    /// Its revision.
+    /// Revision of the record.
     pub revision: u64,
 }
--- a/crates/ivyweir-policy/src/gateway/duty/lease.rs
+++ b/crates/ivyweir-policy/src/gateway/duty/lease.rs
@@ -1,78 +1,77 @@
-//! Which box holds the duties, by a record that boxes write conditionally.
+//! Lease on the duties, based on conditional writes of a record.
 //!
-//! Whoever receives a duty's calls may not compare fences, so two holders must not overlap in time. A holder
-//! sends only while its lease, counted from before its last write was asked for, outlasts the call. Another
-//! box takes over only when it has seen the record unchanged for longer than that. Neither compares its clock
-//! with the other's.
+//! The receiver of a duty's calls may not compare fences, so two holders must not overlap in time. A holder sends a call
+//! only if its lease, counted from before its last write was requested, outlasts the call. Another box takes over only
+//! after it has seen the record unchanged for longer than that. No clocks are compared between boxes.
 //!
 //! After a restore from a backup, the store may hold an older record or none, and may reuse revisions. A restore
 //! therefore ends every lease: each box waits as it does for another box's lease, and fences include the store's era so
 //! that none is issued twice.
 
 use crate::Name;
-use crate::gateway::duty::supply::UpstreamOrder;
+use crate::gateway::duty::scaling::UpstreamOrder;
 use crate::gateway::duty::usage::UsageReport;
 use crate::gateway::duty::{DutyRecord, StoredDuties};
 
-/// Time for which a call that is already on its way may outlast its sender's lease.
+/// Time for which a call in flight may outlast its sender's lease.
 const IN_FLIGHT_MS: u64 = 500;
 
 /// Size of the range of fences reserved for each era. Revisions stay below it, so that the ranges do not overlap.
 const FENCES_PER_ERA: u64 = 1 << 32;
 
-/// How long leases last.
+/// Durations of leases.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseTerms {
-    /// Time since a write was asked for in which its writer may act as holder.
+    /// Duration of a lease, counted from when its write was requested.
     pub lease_ms: u64,
-    /// The longest time that a duty's call may take.
+    /// Maximum duration of a duty's call.
     pub call_ms: u64,
 }
 
 impl LeaseTerms {
-    /// Time for which the record must not have changed before another box may take it over.
+    /// Time for which the record must be unchanged before another box may take over.
     fn takeover_ms(&self) -> u64 {
         self.lease_ms + IN_FLIGHT_MS
     }
 }
 
-/// What a box has to do about the record.
+/// Next action of a box regarding the record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Read it.
+    /// Read the record.
     Read,
-    /// Leave it to its holder.
+    /// Wait, because the lease of another box may not have expired yet.
     Wait,
-    /// Write it, to take the duties over.
-    Take,
-    /// It is this box's.
+    /// Write the record to take over the duties.
+    TakeOver,
+    /// Perform the duties as the holder.
     Held,
 }
 
-/// The record as it was last seen.
+/// Latest observation of the record.
 #[derive(Debug, Clone)]
-struct Seen {
-    /// None where the store has none.
+struct Observation {
+    /// `None` if the store has no record.
     stored: Option<StoredDuties>,
-    /// When it was first seen so.
+    /// Time of the first observation in this state.
     since_ms: u64,
 }
 
-/// A write whose outcome is not known: it may still be done while its condition holds, so nothing else is
-/// written before it.
+/// A write with unknown outcome. It may still be applied while its condition holds, so no other write is sent before it
+/// is resolved.
 #[derive(Debug, Clone)]
 struct Pending {
     record: DutyRecord,
-    first_asked_at_ms: u64,
+    first_requested_at_ms: u64,
 }
 
-/// A box's view of who holds the duties.
+/// State of the lease as known to one box.
 #[derive(Debug)]
 pub struct Lease {
     me: Name,
     run: u64,
     terms: LeaseTerms,
-    seen: Option<Seen>,
+    observed: Option<Observation>,
     pending: Option<Pending>,
     held_until_ms: u64,
     highest_fence: u64,
@@ -83,13 +82,13 @@
 }
 
 impl Lease {
-    /// The view of the box `me` that knows nothing yet; `run` differs between runs of its process.
+    /// Creates the initial state for the box `me`. `run` identifies the run of its process.
     pub fn new(me: Name, run: u64, terms: LeaseTerms) -> Self {
         Self {
             me,
             run,
             terms,
-            seen: None,
+            observed: None,
             pending: None,
             held_until_ms: 0,
             highest_fence: 0,
@@ -98,56 +97,59 @@
         }
     }
 
-    /// What to do now.
+    /// The next action.
     pub fn step(&self, now_ms: u64) -> LeaseStep {
-        let Some(seen) = &self.seen else {
+        let Some(observed) = &self.observed else {
             return LeaseStep::Read;
         };
-        match &seen.stored {
-            None if self.era == 0 => LeaseStep::Take,
-            Some(stored) if self.is_mine(&stored.record) => LeaseStep::Held,
-            _ if now_ms >= seen.since_ms + self.terms.takeover_ms() => LeaseStep::Take,
+        match &observed.stored {
+            None if self.era == 0 => LeaseStep::TakeOver,
+            Some(stored) if self.is_own(&stored.record) => LeaseStep::Held,
+            _ if now_ms >= observed.since_ms + self.terms.takeover_ms() => LeaseStep::TakeOver,
             _ => LeaseStep::Wait,
         }
     }
 
-    /// The record as it was last seen.
+    /// The record as last observed.
     pub fn record(&self) -> Option<&DutyRecord> {
-        let stored = self.seen.as_ref()?.stored.as_ref()?;
+        let stored = self.observed.as_ref()?.stored.as_ref()?;
         Some(&stored.record)
     }
 
-    /// The fixed reports of the record; none where there is no record.
+    /// Fixed reports in the record. Empty if there is no record.
     pub fn reports(&self) -> &[UsageReport] {
         self.record().map_or(&[], |record| &record.reports)
     }
 
-    /// The orders in force by the record; none where there is no record.
+    /// Orders in force in the record. Empty if there is no record.
     pub fn orders(&self) -> &[UpstreamOrder] {
         self.record().map_or(&[], |record| &record.orders)
     }
 
-    /// The fence under which this box may send a duty's call now, if it may.
+    /// Fence under which this box may send a duty's call now; `None` if it must not send one.
     pub fn fence(&self, now_ms: u64) -> Option<u64> {
-        let record = self.record().filter(|record| self.is_mine(record))?;
+        let record = self.record().filter(|record| self.is_own(record))?;
         let is_held = now_ms + self.terms.call_ms <= self.held_until_ms;
         is_held.then_some(record.fence)
     }
 
-    /// The write to ask for now, and the revision that the record must have for it; none where there must be
-    /// no record. `change` is applied unless a write before it is still open.
+    /// The record to write now and the revision on which the write is conditional; `None` if the record must not exist.
+    /// If an earlier write is still pending, that write is returned again and `change` is not applied.
     pub fn write(
         &mut self,
         now_ms: u64,
         change: impl FnOnce(&mut DutyRecord),
     ) -> (DutyRecord, Option<u64>) {
-        let stored = self.seen.as_ref().and_then(|seen| seen.stored.clone());
+        let stored = self
+            .observed
+            .as_ref()
+            .and_then(|observed| observed.stored.clone());
         let revision = stored.as_ref().map(|stored| stored.revision);
         if let Some(pending) = &self.pending {
             return (pending.record.clone(), revision);
         }
         let mut record = stored.map(|stored| stored.record).unwrap_or_default();
-        if self.is_mine(&record) {
+        if self.is_own(&record) {
             record.renewals += 1;
         } else {
             if !self.is_from_current_era(&record) {
@@ -162,49 +164,50 @@
         change(&mut record);
         self.pending = Some(Pending {
             record: record.clone(),
-            first_asked_at_ms: now_ms,
+            first_requested_at_ms: now_ms,
         });
         (record, revision)
     }
 
     /// Processes the store's record, or its absence, as answered in `era` to a read or to a write, whether or not the
     /// write was applied. Answers from an earlier era are ignored; a later era ends the lease.
-    pub fn see(&mut self, stored: Option<StoredDuties>, era: u64, now_ms: u64) {
+    pub fn observe(&mut self, stored: Option<StoredDuties>, era: u64, now_ms: u64) {
         if era < self.era {
             return;
         }
         if era > self.era {
             self.era = era;
-            self.doubt();
+            self.invalidate();
         }
         if let Some(stored) = &stored {
             self.highest_fence = self.highest_fence.max(stored.record.fence);
             self.update_newest_record(&stored.record);
         }
         let revision = |stored: &Option<StoredDuties>| stored.as_ref().map(|s| s.revision);
-        let is_news = self
-            .seen
+        let is_changed = self
+            .observed
             .as_ref()
-            .is_none_or(|seen| revision(&seen.stored) != revision(&stored));
-        // While the revision is the one it was asked for under, an open write may still be done.
-        if is_news && let Some(pending) = self.pending.take() {
+            .is_none_or(|observed| revision(&observed.stored) != revision(&stored));
+        // A pending write may still be applied while the revision is the one on which it is conditional.
+        if is_changed && let Some(pending) = self.pending.take() {
             let record = stored.as_ref().map(|stored| &stored.record);
             if record == Some(&pending.record) {
-                self.held_until_ms = pending.first_asked_at_ms + self.terms.lease_ms;
+                self.held_until_ms = pending.first_requested_at_ms + self.terms.lease_ms;
             }
         }
-        if is_news {
-            self.seen = Some(Seen {
+        if is_changed {
+            self.observed = Some(Observation {
                 stored,
                 since_ms: now_ms,
             });
         }
     }
 
-    /// Takes in that a call under this box's fence was refused: another holder has a higher one.
-    pub fn doubt(&mut self) {
+    /// Ends the lease and requires a new read of the record. Called when a call under this box's fence was rejected
+    /// because another holder has a higher one, or when the store was restored.
+    pub fn invalidate(&mut self) {
         self.held_until_ms = 0;
-        self.seen = None;
+        self.observed = None;
         self.pending = None;
     }
 
@@ -233,7 +236,7 @@
         }
     }
 
-    fn is_mine(&self, record: &DutyRecord) -> bool {
+    fn is_own(&self, record: &DutyRecord) -> bool {
         record.holder == self.me && record.run == self.run && self.is_from_current_era(record)
     }
 
--- a/crates/ivyweir-policy/src/gateway/duty/usage.rs
+++ b/crates/ivyweir-policy/src/gateway/duty/usage.rs
@@ -1,9 +1,9 @@
-//! How many requests of each workspace began in each window, summed up over all boxes.
+//! Usage counts: requests of each workspace that began in each window, summed over all boxes.
 //!
-//! Each box counts its own, and boxes tell their counts along the ways on which they tell work: to the relay of
-//! their hall, and from there to the other relays. Counts of a box's run only grow, so a row that is told
-//! twice, late or by several boxes counts once, and what a box told outlives it. A row is told on until the
-//! other end says that it has it.
+//! Each box counts its own requests. Counts are sent along the same paths as work reports: to the relay of the hall, and
+//! from there to the other relays. The counts of one process run only increase and are merged by maximum, so a row that
+//! is received twice, late or from several boxes is counted once. Counts that were sent survive the box. A row is sent
+//! repeatedly until the receiver acknowledges it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,35 +14,35 @@
 /// Requests by workspace.
 pub type Counts = BTreeMap<Name, u32>;
 
-/// How often a box tells another what is new. A box that is killed takes the counts since then with it.
-const TOLD_EVERY_MS: u64 = 900;
-/// Time since anything was heard from a box after which what it had is forgotten.
-const PEER_KEPT_MS: u64 = 60_000;
+/// Interval between updates to another box. If a box is killed, the counts since its last update are lost.
+const UPDATE_INTERVAL_MS: u64 = 900;
+/// Time since the last exchange with a box after which its state is discarded.
+const PEER_TTL_MS: u64 = 60_000;
 
-/// The usage of a window, as it is reported.
+/// Usage of one window, as reported to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Number of the window since 1970.
+    /// Number of the window, counted from the Unix epoch.
     pub window: u64,
-    /// Requests that began in it.
+    /// Requests that began in the window.
     pub counts: Counts,
 }
 
-/// A run of a box's process.
+/// One process run of a box.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BoxRun {
-    /// The box.
+    /// Name of the box.
     #[serde(rename = "b")]
     pub name: Name,
-    /// Differs between its runs.
+    /// Identifier of the run.
     #[serde(rename = "r")]
     pub run: u64,
 }
 
-/// What one run of a box counted in a window.
+/// Counts of one process run of a box in one window.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageRow {
-    /// Whose counts they are.
+    /// Process run that counted the requests.
     #[serde(rename = "of")]
     pub counter: BoxRun,
     /// The window.
@@ -53,27 +53,27 @@
     pub counts: Counts,
 }
 
-/// How much of a teller's changes a box has.
+/// Position in the sequence of changes of a sender's table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
-    /// The teller's run.
+pub struct UsageCursor {
+    /// Process run of the sender.
     pub run: u64,
-    /// Its last change that was heard.
+    /// Number of the last change received.
     pub change: u64,
 }
 
-/// What one box tells another of usage.
+/// Usage update from one box to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageNews {
-    /// The teller's run and its last change, where it tells rows.
+pub struct UsageUpdate {
+    /// Position of the sender after this update, if it contains rows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub told: Option<Heard>,
-    /// Rows that changed since what the other has.
+    pub told: Option<UsageCursor>,
+    /// Rows that changed since the last change acknowledged by the receiver.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rows: Vec<UsageRow>,
-    /// How much the teller has of the other's changes.
+    /// Acknowledgement: position of the sender in the receiver's changes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub heard: Option<Heard>,
+    pub heard: Option<UsageCursor>,
     /// The newest window whose report the sender knows to be fixed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fixed_window: Option<u64>,
@@ -82,47 +82,47 @@
 #[derive(Debug, Default)]
 struct Row {
     counts: Counts,
-    /// Number of the table's change that changed it last.
-    changed: u64,
-    /// Whether it is of this hall: counted here, or told by the box that counted it.
-    is_near: bool,
+    /// Number of the change that last modified the row.
+    last_change: u64,
+    /// Whether the row originates in this hall: counted here, or received from the box that counted it.
+    is_local_hall: bool,
 }
 
-/// What is known of another box's table.
+/// State of the exchange with another box.
 #[derive(Debug, Default)]
 struct Peer {
-    /// What this box has of its changes.
-    heard: Option<Heard>,
-    /// What it has of this box's changes.
-    has: u64,
-    told_at_ms: Option<u64>,
-    /// Whether it told rows and was not told since that this box has them.
-    owed: bool,
-    at_ms: u64,
+    /// Position of this box in the changes of the other one.
+    heard: Option<UsageCursor>,
+    /// Number of this box's last change that the other one acknowledged.
+    acked_change: u64,
+    updated_at_ms: Option<u64>,
+    /// Whether rows were received that have not been acknowledged yet.
+    ack_due: bool,
+    last_contact_ms: u64,
 }
 
-/// What is told to another box.
+/// Content of an update to another box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Telling {
-    /// Rows that changed, and what was heard.
+pub enum UpdateContent {
+    /// Changed rows and the acknowledgement.
     Rows,
-    /// Only what was heard: the other one sums nothing up.
-    Heard,
+    /// Only the acknowledgement, because the receiver does not sum up counts.
+    AckOnly,
 }
 
-/// The counts that a box knows.
+/// All usage counts known to a box.
 #[derive(Debug)]
 pub struct UsageTable {
     me: BoxRun,
     rows: BTreeMap<(u64, BoxRun), Row>,
     changes: u64,
     peers: HashMap<Name, Peer>,
-    /// The newest window whose report is known to be fixed. A restore of the store may lose the record that says so.
+    /// Newest window whose report is known to be fixed. A restore of the store may lose the record of it.
     fixed_window: Option<u64>,
 }
 
 impl UsageTable {
-    /// The empty table of a run of a box's process.
+    /// Creates an empty table for a process run of this box.
     pub fn new(me: BoxRun) -> Self {
         Self {
             me,
@@ -133,16 +133,16 @@
         }
     }
 
-    /// Counts a request of this box.
+    /// Counts one request on this box.
     pub fn count(&mut self, workspace: &Name, window: u64) {
         self.changes += 1;
         let row = self.rows.entry((window, self.me.clone())).or_default();
-        row.is_near = true;
-        row.changed = self.changes;
+        row.is_local_hall = true;
+        row.last_change = self.changes;
         *row.counts.entry(workspace.clone()).or_default() += 1;
     }
 
-    /// The counts of a window over all boxes.
+    /// Counts of a window summed over all boxes.
     pub fn total(&self, window: u64) -> Counts {
         let mut total = Counts::new();
         let rows = self.rows.iter().filter(|((of, _), _)| *of == window);
@@ -152,36 +152,42 @@
         total
     }
 
-    /// The first window in which anything was counted, as far as is remembered.
+    /// Oldest window for which there are counts.
     pub fn first_window(&self) -> Option<u64> {
         self.rows.keys().next().map(|(window, _)| *window)
     }
 
-    /// What another box is to be told now, if anything.
-    pub fn news_for(&mut self, peer: &Name, telling: Telling, now_ms: u64) -> Option<UsageNews> {
+    /// The update to send to `peer` now, if any.
+    pub fn update_for(
+        &mut self,
+        peer: &Name,
+        content: UpdateContent,
+        now_ms: u64,
+    ) -> Option<UsageUpdate> {
         let known = self.peers.entry(peer.clone()).or_default();
-        known.at_ms = now_ms;
+        known.last_contact_ms = now_ms;
         let is_due = known
-            .told_at_ms
-            .is_none_or(|at_ms| now_ms >= at_ms + TOLD_EVERY_MS);
-        let has_news = telling == Telling::Rows && known.has < self.changes;
-        if !(known.owed || has_news && is_due) {
+            .updated_at_ms
+            .is_none_or(|at_ms| now_ms >= at_ms + UPDATE_INTERVAL_MS);
+        let has_changes = content == UpdateContent::Rows && known.acked_change < self.changes;
+        if !(known.ack_due || has_changes && is_due) {
             return None;
         }
-        known.owed = false;
+        known.ack_due = false;
         let mut rows = Vec::new();
-        if has_news {
-            known.told_at_ms = Some(now_ms);
+        if has_changes {
+            known.updated_at_ms = Some(now_ms);
             let changed = self.rows.iter();
-            let changed = changed.filter(|(_, row)| row.is_near && row.changed > known.has);
+            let changed = changed
+                .filter(|(_, row)| row.is_local_hall && row.last_change > known.acked_change);
             rows.extend(changed.map(|((window, counter), row)| UsageRow {
                 counter: counter.clone(),
                 window: *window,
                 counts: row.counts.clone(),
             }));
         }
-        Some(UsageNews {
-            told: has_news.then_some(Heard {
+        Some(UsageUpdate {
+            told: has_changes.then_some(UsageCursor {
                 run: self.me.run,
                 change: self.changes,
             }),
@@ -191,27 +197,27 @@
         })
     }
 
-    /// Takes in what another box tells; `is_near` says that it is of this hall and tells its own.
-    pub fn hear(&mut self, peer: &Name, news: UsageNews, is_near: bool, now_ms: u64) {
+    /// Applies an update from `peer`. `is_local_hall` states that the peer is in this hall and sends its own counts.
+    pub fn apply(&mut self, peer: &Name, update: UsageUpdate, is_local_hall: bool, now_ms: u64) {
         let known = self.peers.entry(peer.clone()).or_default();
-        known.at_ms = now_ms;
-        if let Some(window) = news.fixed_window {
+        known.last_contact_ms = now_ms;
+        if let Some(window) = update.fixed_window {
             self.note_fixed_window(window);
         }
         let known = self.peers.entry(peer.clone()).or_default();
-        if let Some(told) = news.told {
+        if let Some(told) = update.told {
             known.heard = Some(told);
-            known.owed = true;
+            known.ack_due = true;
         }
-        // What a box has of an earlier run of this one is nothing of this run.
-        let has = news.heard.filter(|heard| heard.run == self.me.run);
-        known.has = has.map_or(0, |heard| heard.change);
-        for row in news.rows {
-            self.merge(row, is_near);
+        // Acknowledgements of an earlier run of this box do not apply to the current run.
+        let acked = update.heard.filter(|heard| heard.run == self.me.run);
+        known.acked_change = acked.map_or(0, |heard| heard.change);
+        for row in update.rows {
+            self.merge(row, is_local_hall);
         }
     }
 
-    /// Notes that the reports of this window and all earlier ones are fixed.
+    /// Records that the reports of `window` and all earlier ones are fixed.
     pub fn note_fixed_window(&mut self, window: u64) {
         if self.fixed_window < Some(window) {
             self.fixed_window = Some(window);
@@ -219,33 +225,36 @@
         }
     }
 
-    /// The newest window whose report is known to be fixed.
+    /// Newest window whose report is known to be fixed.
     pub fn fixed_window(&self) -> Option<u64> {
         self.fixed_window
     }
 
-    fn merge(&mut self, told: UsageRow, is_near: bool) {
-        if told.counter == self.me {
+    fn merge(&mut self, received: UsageRow, is_local_hall: bool) {
+        if received.counter == self.me {
             return;
         }
-        let row = self.rows.entry((told.window, told.counter)).or_default();
-        let mut is_news = is_near && !row.is_near;
-        row.is_near |= is_near;
-        for (workspace, count) in told.counts {
+        let row = self
+            .rows
+            .entry((received.window, received.counter))
+            .or_default();
+        let mut is_changed = is_local_hall && !row.is_local_hall;
+        row.is_local_hall |= is_local_hall;
+        for (workspace, count) in received.counts {
             let known = row.counts.entry(workspace).or_default();
-            is_news |= count > *known;
+            is_changed |= count > *known;
             *known = count.max(*known);
         }
-        if is_news {
+        if is_changed {
             self.changes += 1;
-            row.changed = self.changes;
+            row.last_change = self.changes;
         }
     }
 
-    /// Forgets windows before this one, and boxes of which nothing was heard for long.
-    pub fn forget_before(&mut self, window: u64, now_ms: u64) {
+    /// Discards windows before `window` and the state of boxes without recent contact.
+    pub fn discard_before(&mut self, window: u64, now_ms: u64) {
         self.rows.retain(|(of, _), _| *of >= window);
         self.peers
-            .retain(|_, peer| now_ms < peer.at_ms + PEER_KEPT_MS);
+            .retain(|_, peer| now_ms < peer.last_contact_ms + PEER_TTL_MS);
     }
 }
--- a/crates/ivyweir-policy/src/gateway/mod.rs
+++ b/crates/ivyweir-policy/src/gateway/mod.rs
@@ -1,6 +1,7 @@
-//! Decisions of the request gateway: routes, upstreams, models, repeats and roll-outs.
+//! Decision logic of the request gateway: routing, upstream selection, model cascades, retries and roll-outs.
 //!
-//! Each type is plain data that is handed the time; the gateway's I/O lives in `ivyweir-gateway`.
+//! The types perform no I/O and read no clock: the current time is passed in by the caller. The gateway's I/O is in
+//! `ivyweir-gateway`.
 
 pub mod backoff;
 pub mod cascade;
--- a/crates/ivyweir-policy/src/gateway/peer_report.rs
+++ b/crates/ivyweir-policy/src/gateway/peer_report.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use crate::gateway::duty::usage::UsageNews;
+use crate::gateway::duty::usage::UsageUpdate;
 use crate::gateway::limit::ToldLimit;
 use crate::gateway::quarantine::LedgerNews;
 use crate::gateway::retry_budget::RetryCounts;
@@ -185,5 +185,5 @@
     pub quarantine: Option<LedgerNews>,
     /// Update of the usage counts, if usage is reported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub usage: Option<UsageNews>,
+    pub usage: Option<UsageUpdate>,
 }
--- a/crates/ivyweir-policy/src/gateway/site.rs
+++ b/crates/ivyweir-policy/src/gateway/site.rs
@@ -7,7 +7,7 @@
 
 use crate::Name;
 use crate::gateway::cold::ColdStart;
-use crate::gateway::duty::supply::Scaling;
+use crate::gateway::duty::scaling::Scaling;
 
 /// Kind of a route, which determines how its requests are answered and whether they may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
@@ -3,15 +3,15 @@
 use std::collections::HashMap;
 
 use crate::Name;
-use crate::gateway::duty::supply::HallSupply;
+use crate::gateway::duty::scaling::HallCapacity;
 use crate::gateway::fleet::Standing;
 use crate::gateway::peer_report::Running;
 use crate::gateway::upstreams::Upstreams;
 
 impl Upstreams {
     /// A pool's upstreams that serve and are not cold, by hall, and the most requests that one of them works on.
-    pub fn supply(&self, pool: &Name, now_ms: u64) -> (HashMap<Name, HallSupply>, u32) {
-        let mut supply: HashMap<Name, HallSupply> = HashMap::new();
+    pub fn supply(&self, pool: &Name, now_ms: u64) -> (HashMap<Name, HallCapacity>, u32) {
+        let mut supply: HashMap<Name, HallCapacity> = HashMap::new();
         let mut slots = 0;
         let of_pool = self.fleet.members().filter(|m| m.record.pool == *pool);
         let serving =
@@ -21,7 +21,7 @@
             if record.is_spot {
                 of_hall.spot += 1;
             } else {
-                of_hall.lasting += 1;
+                of_hall.on_demand += 1;
             }
             slots = slots.max(record.slots);
         }
--- a/crates/ivyweir-policy/tests/gateway_duties.rs
+++ b/crates/ivyweir-policy/tests/gateway_duties.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use ivyweir_policy::gateway::duty::lease::{Lease, LeaseStep, LeaseTerms};
-use ivyweir_policy::gateway::duty::supply::UpstreamOrder;
+use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use ivyweir_policy::gateway::duty::{DutyRecord, StoredDuties};
 use ivyweir_standins::edge::{DutyCall, DutyPromise};
 use rand::rngs::StdRng;
@@ -113,7 +113,7 @@
         let write = match self.lease.step(now_ms) {
             LeaseStep::Wait => return,
             LeaseStep::Read => None,
-            LeaseStep::Take | LeaseStep::Held => Some(self.lease.write(now_ms, |_| {})),
+            LeaseStep::TakeOver | LeaseStep::Held => Some(self.lease.write(now_ms, |_| {})),
         };
         match (self.way, write) {
             (Way::Refuses, _) => return,
@@ -130,7 +130,7 @@
             (Way::Sound, Some((record, revision))) => store.write(record, revision),
             (Way::Sound, None) => {}
         }
-        self.lease.see(store.stored.clone(), store.era, now_ms);
+        self.lease.observe(store.stored.clone(), store.era, now_ms);
     }
 }
 
@@ -207,7 +207,7 @@
                 };
                 calls.insert((at_ms, calls.len()), call);
             }
-            if now_ms.is_multiple_of(500) || sim.lease.step(now_ms) == LeaseStep::Take {
+            if now_ms.is_multiple_of(500) || sim.lease.step(now_ms) == LeaseStep::TakeOver {
                 sim.ask(&mut store, now_ms, &mut rng);
             }
         }
@@ -269,15 +269,15 @@
 fn a_record_of_another_box_is_taken_over_only_when_it_stood_still_for_a_lease() {
     let mut lease = lease(0, 0);
     assert_eq!(lease.step(0), LeaseStep::Read);
-    lease.see(stored(record("other", 4), 10), 0, 1_000);
+    lease.observe(stored(record("other", 4), 10), 0, 1_000);
     assert_eq!(lease.step(4_400), LeaseStep::Wait);
-    lease.see(stored(record("other", 4), 11), 0, 4_400);
+    lease.observe(stored(record("other", 4), 11), 0, 4_400);
     assert_eq!(lease.step(7_800), LeaseStep::Wait);
-    assert_eq!(lease.step(7_900), LeaseStep::Take);
+    assert_eq!(lease.step(7_900), LeaseStep::TakeOver);
     let (taken, revision) = lease.write(7_900, |_| {});
     assert_eq!((taken.fence, revision), (5, Some(11)));
     assert_eq!(lease.fence(7_950), None);
-    lease.see(stored(taken, 12), 0, 7_980);
+    lease.observe(stored(taken, 12), 0, 7_980);
     assert_eq!(lease.fence(7_980), Some(5));
     assert_eq!(lease.fence(9_900), Some(5));
     assert_eq!(lease.fence(9_901), None);
@@ -288,13 +288,13 @@
 #[test]
 fn a_write_whose_answer_was_lost_is_asked_for_again_as_it_was() {
     let mut lease = lease(0, 0);
-    lease.see(None, 0, 0);
+    lease.observe(None, 0, 0);
     let (first, _) = lease.write(100, |record| record.fixed_window = Some(1));
     let (again, _) = lease.write(900, |record| record.fixed_window = Some(2));
     assert_eq!(first, again);
-    lease.see(None, 0, 950);
+    lease.observe(None, 0, 950);
     assert_eq!(lease.write(1_000, |_| {}).0, first);
-    lease.see(stored(first, 3), 0, 1_500);
+    lease.observe(stored(first, 3), 0, 1_500);
     assert_eq!(lease.fence(2_100), Some(1));
     assert_eq!(lease.fence(2_101), None);
     let (next, revision) = lease.write(2_101, |record| record.fixed_window = Some(2));
@@ -305,10 +305,10 @@
 #[test]
 fn a_box_that_starts_again_holds_nothing_until_it_has_waited() {
     let mut before = lease(0, 0);
-    before.see(None, 0, 0);
+    before.observe(None, 0, 0);
     let (taken, _) = before.write(0, |_| {});
     let mut after = lease(0, 1);
-    after.see(stored(taken, 1), 0, 100);
+    after.observe(stored(taken, 1), 0, 100);
     assert_eq!(after.step(100), LeaseStep::Wait);
     assert_eq!(after.fence(100), None);
     assert_eq!(after.write(4_000, |_| {}).0.fence, 2);
@@ -317,25 +317,25 @@
 #[test]
 fn a_box_whose_fence_was_refused_reads_the_record_anew() {
     let mut lease = lease(0, 0);
-    lease.see(None, 0, 0);
+    lease.observe(None, 0, 0);
     let (taken, _) = lease.write(0, |_| {});
-    lease.see(stored(taken, 1), 0, 10);
-    lease.doubt();
+    lease.observe(stored(taken, 1), 0, 10);
+    lease.invalidate();
     assert_eq!(lease.step(20), LeaseStep::Read);
     assert_eq!(lease.fence(20), None);
     // Somebody removed the record meanwhile: no fence is given twice.
-    lease.see(None, 0, 30);
+    lease.observe(None, 0, 30);
     assert_eq!(lease.write(40, |_| {}).0.fence, 2);
 }
 
 /// The lease of a box that held the duties under fence 4 when a restore left `restored` in the store.
 fn lease_after_restore(restored: Option<StoredDuties>) -> Lease {
     let mut lease = lease(0, 0);
-    lease.see(stored(record("other", 3), 4), 0, 0);
+    lease.observe(stored(record("other", 3), 4), 0, 0);
     let (taken, _) = lease.write(4_000, |record| record.fixed_window = Some(8));
-    lease.see(stored(taken, 5), 0, 4_010);
+    lease.observe(stored(taken, 5), 0, 4_010);
     assert_eq!(lease.fence(4_010), Some(4));
-    lease.see(restored, 1, 5_000);
+    lease.observe(restored, 1, 5_000);
     lease
 }
 
@@ -346,11 +346,11 @@
             let mut lease = lease_after_restore($restored);
             assert_eq!(lease.fence(5_000), None);
             assert_eq!(lease.step(8_400), LeaseStep::Wait);
-            assert_eq!(lease.step(8_500), LeaseStep::Take);
+            assert_eq!(lease.step(8_500), LeaseStep::TakeOver);
             let (taken, _) = lease.write(8_500, |_| {});
             assert!(taken.fence > 1 << 32, "the fence is not from the current era");
             assert_eq!(taken.fixed_window, Some(8), "the lost window is not written back");
-            lease.see(stored(taken, 6), 1, 8_510);
+            lease.observe(stored(taken, 6), 1, 8_510);
             assert_eq!(lease.step(8_510), LeaseStep::Held);
         }
     )*};
@@ -366,8 +366,8 @@
 fn an_answer_from_an_earlier_era_is_ignored() {
     let mut lease = lease_after_restore(None);
     let (taken, _) = lease.write(8_500, |_| {});
-    lease.see(stored(taken, 6), 1, 8_510);
-    lease.see(stored(record("other", 5), 9), 0, 8_520);
+    lease.observe(stored(taken, 6), 1, 8_510);
+    lease.observe(stored(record("other", 5), 9), 0, 8_520);
     assert_eq!(lease.step(8_520), LeaseStep::Held);
 }
 
@@ -384,6 +384,6 @@
         orders: vec![order],
         ..record("other", 4)
     };
-    lease.see(stored(restored, 5), 1, 0);
+    lease.observe(stored(restored, 5), 1, 0);
     assert!(lease.write(4_000, |_| {}).0.orders.is_empty());
 }
--- a/crates/ivyweir-policy/tests/gateway_supply.rs
+++ b/crates/ivyweir-policy/tests/gateway_supply.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, VecDeque};
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::duty::supply::{
-    HallSupply, PoolView, Scaling, SupplyPlanner, UpstreamOrder,
+use ivyweir_policy::gateway::duty::scaling::{
+    HallCapacity, PoolView, Scaling, ScalingPlanner, UpstreamOrder,
 };
 
 const HALLS: [&str; 4] = ["a", "b", "c", "d"];
@@ -26,7 +26,7 @@
 
 /// A platform with upstreams, and the orders that wait for their time.
 struct Platform {
-    supply: HashMap<Name, HallSupply>,
+    supply: HashMap<Name, HallCapacity>,
     starting: VecDeque<(u64, UpstreamOrder)>,
     orders: Vec<UpstreamOrder>,
     given: usize,
@@ -35,13 +35,13 @@
     scaling: Scaling,
     drained: Vec<Name>,
     is_rolling_out: bool,
-    planner: SupplyPlanner,
+    planner: ScalingPlanner,
 }
 
 impl Platform {
     fn new(spot_price: Option<f64>) -> Self {
-        let all = HallSupply {
-            lasting: FIRST,
+        let all = HallCapacity {
+            on_demand: FIRST,
             spot: 0,
         };
         Self {
@@ -53,16 +53,16 @@
             scaling: scaling(spot_price),
             drained: Vec::new(),
             is_rolling_out: false,
-            planner: SupplyPlanner::default(),
+            planner: ScalingPlanner::default(),
         }
     }
 
     fn serving(&self) -> u32 {
-        self.supply.values().map(|s| s.lasting + s.spot).sum()
+        self.supply.values().map(|s| s.on_demand + s.spot).sum()
     }
 
     fn lasting(&self) -> u32 {
-        self.supply.values().map(|s| s.lasting).sum()
+        self.supply.values().map(|s| s.on_demand).sum()
     }
 
     fn step(&mut self, running: Option<f64>, now_ms: u64) {
@@ -78,7 +78,7 @@
             let count = if order.is_spot {
                 &mut of_hall.spot
             } else {
-                &mut of_hall.lasting
+                &mut of_hall.on_demand
             };
             *count = order.count.max(*count);
         }
@@ -88,7 +88,7 @@
             scaling: &self.scaling,
             drained_halls: &self.drained,
             is_rolling_out: self.is_rolling_out,
-            supply: self.supply.clone(),
+            capacity: self.supply.clone(),
             slots: SLOTS,
             running,
             orders: &self.orders,
@@ -105,17 +105,18 @@
             .get(&order.hall)
             .is_some_and(|until_ms| now_ms < *until_ms);
         if order.is_spot && is_dry {
-            self.planner.refused(&order, now_ms);
+            self.planner.record_refusal(&order, now_ms);
             return;
         }
-        self.orders.retain(|known| !known.is_about(&order));
-        self.starting.retain(|(_, known)| !known.is_about(&order));
+        self.orders.retain(|known| !known.has_same_scope(&order));
+        self.starting
+            .retain(|(_, known)| !known.has_same_scope(&order));
         self.orders.push(order.clone());
         let of_hall = self.supply.entry(order.hall.clone()).or_default();
         let count = if order.is_spot {
             &mut of_hall.spot
         } else {
-            &mut of_hall.lasting
+            &mut of_hall.on_demand
         };
         *count = order.count.min(*count);
         self.starting.push_back((now_ms + BOOT_MS, order));
@@ -253,7 +254,7 @@
     let before = platform.supply["c"];
     platform.play(40_000..60_000, |_| Some(200.0));
     assert_eq!(platform.supply["c"], before);
-    let elsewhere = platform.serving() - before.lasting - before.spot;
+    let elsewhere = platform.serving() - before.on_demand - before.spot;
     assert!(elsewhere >= at_least(200.0) * 2, "{elsewhere} upstreams");
 }
 
@@ -263,7 +264,7 @@
 fn while_two_versions_stand_side_by_side_nothing_is_ordered() {
     let mut platform = Platform::new(Some(0.2));
     for of_hall in platform.supply.values_mut() {
-        of_hall.lasting = FIRST * 2;
+        of_hall.on_demand = FIRST * 2;
     }
     platform.is_rolling_out = true;
     platform.play(0..24_000, |_| Some(200.0));
@@ -271,7 +272,7 @@
     platform.play(24_000..25_500, |_| Some(200.0));
     assert_eq!((platform.given, platform.serving()), (0, FIRST * 8));
     for of_hall in platform.supply.values_mut() {
-        of_hall.lasting = FIRST;
+        of_hall.on_demand = FIRST;
     }
     platform.play(25_500..60_000, |_| Some(200.0));
     assert!(
--- a/crates/ivyweir-policy/tests/gateway_usage.rs
+++ b/crates/ivyweir-policy/tests/gateway_usage.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::duty::epoch::SteadyEpoch;
 use ivyweir_policy::gateway::duty::report::UsageTerms;
-use ivyweir_policy::gateway::duty::usage::{BoxRun, Counts, Telling, UsageTable};
+use ivyweir_policy::gateway::duty::usage::{BoxRun, Counts, UpdateContent, UsageTable};
+use ivyweir_policy::gateway::duty::wall_clock::StableWallClock;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -70,26 +70,26 @@
 
     fn exchange(&mut self, asker: usize, asked: usize, is_near: bool, lost: f64, now_ms: u64) {
         let asked_is = name(asked);
-        let news = self.tables[asker].news_for(&asked_is, Telling::Rows, now_ms);
+        let news = self.tables[asker].update_for(&asked_is, UpdateContent::Rows, now_ms);
         if self.rng.random_bool(lost) {
             return;
         }
         if let Some(news) = news {
             self.rows_told += news.rows.len();
-            self.tables[asked].hear(&name(asker), news, is_near, now_ms);
+            self.tables[asked].apply(&name(asker), news, is_near, now_ms);
         }
         let telling = if is_near {
-            Telling::Heard
+            UpdateContent::AckOnly
         } else {
-            Telling::Rows
+            UpdateContent::Rows
         };
-        let answer = self.tables[asked].news_for(&name(asker), telling, now_ms);
+        let answer = self.tables[asked].update_for(&name(asker), telling, now_ms);
         if self.rng.random_bool(lost) {
             return;
         }
         if let Some(answer) = answer {
             self.rows_told += answer.rows.len();
-            self.tables[asker].hear(&asked_is, answer, is_near, now_ms);
+            self.tables[asker].apply(&asked_is, answer, is_near, now_ms);
         }
     }
 }
@@ -177,27 +177,35 @@
     let mut first = table(0, 0);
     let mut second = table(1, 0);
     first.count(&"studio".into(), 1);
-    let news = first.news_for(&name(1), Telling::Rows, 0).expect("news");
+    let news = first
+        .update_for(&name(1), UpdateContent::Rows, 0)
+        .expect("news");
     assert_eq!(news.rows.len(), 1);
-    second.hear(&name(0), news, true, 0);
+    second.apply(&name(0), news, true, 0);
     let answer = second
-        .news_for(&name(0), Telling::Heard, 0)
+        .update_for(&name(0), UpdateContent::AckOnly, 0)
         .expect("an answer");
     assert!(answer.rows.is_empty());
-    first.hear(&name(1), answer, true, 0);
-    assert_eq!(first.news_for(&name(1), Telling::Rows, 10_000), None);
-    assert_eq!(second.news_for(&name(0), Telling::Heard, 10_000), None);
+    first.apply(&name(1), answer, true, 0);
+    assert_eq!(
+        first.update_for(&name(1), UpdateContent::Rows, 10_000),
+        None
+    );
+    assert_eq!(
+        second.update_for(&name(0), UpdateContent::AckOnly, 10_000),
+        None
+    );
     // The other one starts again and has nothing.
     let mut second = table(1, 1);
-    let news = second.news_for(&name(0), Telling::Rows, 10_000);
+    let news = second.update_for(&name(0), UpdateContent::Rows, 10_000);
     assert_eq!(news, None);
     second.count(&"studio".into(), 2);
     let news = second
-        .news_for(&name(0), Telling::Rows, 10_000)
+        .update_for(&name(0), UpdateContent::Rows, 10_000)
         .expect("news");
-    first.hear(&name(1), news, true, 10_000);
+    first.apply(&name(1), news, true, 10_000);
     let news = first
-        .news_for(&name(1), Telling::Rows, 10_000)
+        .update_for(&name(1), UpdateContent::Rows, 10_000)
         .expect("news");
     assert_eq!(news.rows.len(), 2);
 }
@@ -208,7 +216,7 @@
     table.count(&"studio".into(), 1);
     table.count(&"studio".into(), 9);
     assert_eq!(table.first_window(), Some(1));
-    table.forget_before(5, 0);
+    table.discard_before(5, 0);
     assert_eq!(table.first_window(), Some(9));
     assert_eq!(table.total(1), BTreeMap::new());
 }
@@ -237,7 +245,7 @@
 
 #[test]
 fn a_step_of_the_time_of_day_does_not_count_until_it_has_lasted() {
-    let mut epoch = SteadyEpoch::default();
+    let mut epoch = StableWallClock::default();
     assert_eq!(epoch.epoch_ms(1_000_000, 0), 1_000_000);
     // It drifts.
     assert_eq!(epoch.epoch_ms(1_001_100, 1_000), 1_001_100);
@@ -260,8 +268,8 @@
     let mut receiver = UsageTable::new(run("b"));
     let mut send = |window, now_ms| {
         sender.note_fixed_window(window);
-        let news = sender.news_for(&"b".into(), Telling::Rows, now_ms);
-        receiver.hear(&"a".into(), news.expect("news"), true, now_ms);
+        let news = sender.update_for(&"b".into(), UpdateContent::Rows, now_ms);
+        receiver.apply(&"a".into(), news.expect("news"), true, now_ms);
         receiver.fixed_window()
     };
     assert_eq!(send(8, 0), Some(8));
--- a/crates/ivyweir-standins/src/edge/duty_platform.rs
+++ b/crates/ivyweir-standins/src/edge/duty_platform.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use ivyweir_policy::gateway::duty::supply::UpstreamOrder;
+use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use ivyweir_policy::gateway::duty::usage::UsageReport;
 
 use super::duty_promise::DutyCall;
