--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -19,19 +19,25 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::{Fleet, FleetChange};
-use ivyweir_policy::gateway::hall::BoxRecord;
+use ivyweir_policy::gateway::freshness::FreshnessProof;
 use ivyweir_policy::gateway::pace::PrefillPace;
+use ivyweir_policy::gateway::peer_report::{PeerReport, Running};
 use ivyweir_policy::gateway::placement::UpstreamLoad;
-use ivyweir_policy::gateway::proof::Proof;
-use ivyweir_policy::gateway::repeat::{FleetCounts, RepeatBudget};
+use ivyweir_policy::gateway::relay::BoxRecord;
+use ivyweir_policy::gateway::retry_budget::{FleetCounts, RetryBudget};
 use ivyweir_policy::gateway::rollout::RolloutTracker;
 use ivyweir_policy::gateway::site::SiteIndex;
 use ivyweir_policy::gateway::statement::Source;
 use ivyweir_policy::gateway::upstreams::Upstreams;
-use ivyweir_policy::gateway::word::{Running, Word};
 use ivyweir_policy::hash::hash64;
+use quarantine::Quarantine;
 use serde_json::json;
+use store_era::StoreEra;
 use tokio::sync::{Notify, watch};
+use unread::UnreadHeaders;
+use unreadable::UnreadableRecords;
+use usage::UsageCount;
+use waiting::Queues;
 
 use crate::channel::Channels;
 use crate::clock::Clock;
@@ -42,14 +48,9 @@
 use crate::peers::Peers;
 use crate::settings::Settings;
 use crate::store_news::StoreNews;
-use quarantine::Quarantine;
+
 pub use quarantine::{ReplacedWatch, Suspicion};
 pub use rollouts::counts_of;
-use store_era::StoreEra;
-use unread::UnreadHeaders;
-use unreadable::UnreadableRecords;
-use usage::UsageCount;
-use waiting::Queues;
 pub use waiting::Waiter;
 
 /// Part of the time for a leaving upstream's last work that is left for the way there.
@@ -86,10 +87,10 @@
     pub store_news: StoreNews,
     store_era: Mutex<StoreEra>,
     site: Mutex<Option<Arc<SiteIndex>>>,
-    proof: Mutex<Proof>,
+    proof: Mutex<FreshnessProof>,
     upstreams: Mutex<Upstreams>,
     rollouts: Mutex<HashMap<Name, RolloutTracker>>,
-    budgets: Mutex<HashMap<Name, RepeatBudget>>,
+    budgets: Mutex<HashMap<Name, RetryBudget>>,
     /// What all boxes counted of repeats, by pool.
     fleet_repeats: Mutex<HashMap<Name, FleetCounts>>,
     paces: Mutex<HashMap<Name, PrefillPace>>,
@@ -210,7 +211,7 @@
     }
 
     /// What this box has to tell others.
-    pub fn own_word(&self) -> Word {
+    pub fn own_word(&self) -> PeerReport {
         let tallies = self.own_tallies();
         let upstreams = lock(&self.upstreams);
         let work = upstreams.local_work();
@@ -221,7 +222,7 @@
             Running::new()
         };
         drop(upstreams);
-        Word {
+        PeerReport {
             work,
             tallies,
             repeats: self.own_repeats(),
@@ -230,7 +231,7 @@
     }
 
     /// Takes in what others told; `word.repeats` counts for all boxes.
-    pub fn take_others_word(&self, word: Word) {
+    pub fn take_others_word(&self, word: PeerReport) {
         self.take_fleet_repeats(word.repeats);
         for (pool, tally) in word.tallies {
             self.hear_tally(&pool, tally);
--- a/crates/ivyweir-policy/src/gateway/mod.rs
+++ b/crates/ivyweir-policy/src/gateway/mod.rs
@@ -1,6 +1,7 @@
-//! Decisions of the request gateway: routes, upstreams, models, repeats and roll-outs.
+//! Decision logic of the request gateway: routing, upstream selection, model cascades, retries and roll-outs.
 //!
-//! Each type is plain data that is handed the time; the gateway's I/O lives in `ivyweir-gateway`.
+//! The types perform no I/O and read no clock: the current time is passed in by the caller. The gateway's I/O is in
+//! `ivyweir-gateway`.
 
 pub mod backoff;
 pub mod canary;
@@ -10,15 +11,16 @@
 pub mod departures;
 pub mod duty;
 pub mod fleet;
-pub mod hall;
-pub mod joined;
+pub mod freshness;
+pub mod membership;
 pub mod pace;
+pub mod peer_report;
 pub mod placement;
-pub mod proof;
 pub mod quarantine;
 pub mod quota;
 pub mod rate_limit;
-pub mod repeat;
+pub mod relay;
+pub mod retry_budget;
 pub mod revision;
 pub mod rollout;
 pub mod site;
@@ -26,5 +28,4 @@
 pub mod statement;
 pub mod upstreams;
 pub mod wait;
-pub mod word;
 pub mod work;
--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -18,11 +18,11 @@
 use crate::gateway::cold::RecentSends;
 use crate::gateway::departures::Departures;
 use crate::gateway::fleet::{Fleet, MemberState, UpstreamRecord};
+use crate::gateway::peer_report::Work;
 use crate::gateway::placement::UpstreamLoad;
 use crate::gateway::quota::QuotaShare;
 use crate::gateway::rate_limit::Limit;
 use crate::gateway::rollout::{RolloutState, Side};
-use crate::gateway::word::Work;
 use crate::hash::hash64;
 
 pub use statements::StatementEffects;
