--- a/crates/ivyweir-policy/src/gateway/upstreams.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams.rs
@@ -280,10 +280,14 @@
     ) -> u32 {
         let usable = self.usable(scope, target);
         let capacities = usable.iter().map(|record| {
-            let own_part = (record.slots / boxes.max(1)).max(1);
+            let slot_share = (record.slots / boxes.max(1)).max(1);
             let state = self.state_mut(&record.id);
             let limit = state.limit.room_by(until_ms).unwrap_or(u32::MAX);
-            state.backoff.capacity_by(until_ms).min(limit).min(own_part)
+            state
+                .backoff
+                .capacity_by(until_ms)
+                .min(limit)
+                .min(slot_share)
         });
         capacities.fold(0, u32::saturating_add)
     }
--- a/crates/ivyweir-policy/src/gateway/upstreams/versions.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/versions.rs
@@ -79,8 +79,7 @@
 
 /// Minimum number of a new version's upstreams that serve while its share is small. A version is found bad by bad
 /// answers of two upstreams, and boxes prefer upstreams of their own hall: with two upstreams in all, a version that
-/// became bad was not rolled back in 2 of 4 simulated days with four plain services; with all four upstreams, in
-/// none.
+/// became bad was not rolled back in 2 of 4 runs of a day with four plain services; with all four upstreams, in none.
 const MIN_NEW_UPSTREAMS: usize = 4;
 
 /// Selects the new version's upstreams that serve its share, so that each has about the load of one of the `old`
