--- a/crates/ivyweir-policy/src/freshness.rs
+++ b/crates/ivyweir-policy/src/freshness.rs
@@ -23,8 +23,8 @@
 pub enum Freshness {
     /// There is a recent proof; the box serves.
     Fresh,
-    /// There is no recent proof, but the box is in contact with a majority. The store is unavailable
-    /// to most boxes, so no box can accept a change, and this box serves.
+    /// There is no recent proof, but the box is in contact with a majority. The store is
+    /// unavailable to most boxes, so no box can accept a change, and this box serves.
     StoreUnavailable,
     /// The box is cut off from the majority: other boxes may accept changes that it does not see.
     Partitioned,
