--- a/crates/ivyweir-gateway/src/duties.rs
+++ b/crates/ivyweir-gateway/src/duties.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, StatusCode};
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::duty::DutyRecord;
-use ivyweir_policy::gateway::duty::lease::{Lease, LeaseStep, LeaseTerms};
+use ivyweir_policy::gateway::duty::lease::{Lease, LeaseConfig, LeaseStep};
 use ivyweir_policy::gateway::duty::scaling::{ScalingPlanner, UpstreamOrder};
 use ivyweir_policy::gateway::duty::usage::UsageReport;
 use serde_json::json;
@@ -97,7 +97,7 @@
 impl Worker {
     fn new(gateway: Arc<Gateway>, settings: settings::Duties) -> Self {
         let call_ms = CALL_LIMIT_MS.min(settings.lease_ms / CALL_PART);
-        let terms = LeaseTerms {
+        let terms = LeaseConfig {
             lease_ms: settings.lease_ms,
             call_ms,
         };
@@ -161,7 +161,7 @@
             return Vec::new();
         };
         let gateway = &self.gateway;
-        let windows = usage.terms().to_fix(
+        let windows = usage.terms().windows_to_fix(
             gateway.fixed_usage_window(),
             gateway.first_usage_window(),
             hearing_ms,
--- a/crates/ivyweir-gateway/src/settings.rs
+++ b/crates/ivyweir-gateway/src/settings.rs
@@ -5,7 +5,7 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::cascade::{CONFIDENCE_FLOOR, CONFIDENCE_FULL};
-use ivyweir_policy::gateway::duty::report::UsageTerms;
+use ivyweir_policy::gateway::duty::report::UsageSchedule;
 use ivyweir_policy::gateway::retry_budget::RetryLimits;
 use serde::Deserialize;
 use snafu::ensure;
@@ -90,8 +90,8 @@
 
 impl Usage {
     /// When windows are fixed and reported.
-    pub fn terms(&self) -> UsageTerms {
-        UsageTerms {
+    pub fn terms(&self) -> UsageSchedule {
+        UsageSchedule {
             window_ms: (self.window_s * 1_000.0) as u64,
             late_ms: (self.late_s * 1_000.0) as u64,
         }
--- a/crates/ivyweir-gateway/src/state/usage.rs
+++ b/crates/ivyweir-gateway/src/state/usage.rs
@@ -1,7 +1,7 @@
 //! Requests that began, counted for reports of usage.
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::duty::report::UsageTerms;
+use ivyweir_policy::gateway::duty::report::UsageSchedule;
 use ivyweir_policy::gateway::duty::usage::{
     BoxRun, Counts, UpdateContent, UsageTable, UsageUpdate,
 };
@@ -13,7 +13,7 @@
 
 /// What this box knows of usage; nothing is counted where none is reported.
 pub(super) struct UsageCount {
-    terms: Option<UsageTerms>,
+    terms: Option<UsageSchedule>,
     epoch: StableWallClock,
     table: UsageTable,
 }
--- a/crates/ivyweir-policy/src/gateway/duty.rs
+++ b/crates/ivyweir-policy/src/gateway/duty.rs
@@ -1,8 +1,9 @@
 //! Duties that a single elected box performs for the whole fleet: reporting usage and ordering upstreams.
 //!
 //! A record in the store names the holder and its fencing token, which increases with each change of holder. The record
-//! also contains the state that the next holder needs: fixed reports that may not have been accepted yet, and the orders
-//! in force. The box whose conditional write of the record succeeds is the holder. Boxes need no other agreement.
+//! also contains the state that the next holder needs: fixed reports that may not have been accepted yet, and the
+//! orders in force. The box whose conditional write of the record succeeds is the holder. Boxes need no other
+//! agreement.
 
 pub mod lease;
 pub mod report;
--- a/crates/ivyweir-policy/src/gateway/duty/lease.rs
+++ b/crates/ivyweir-policy/src/gateway/duty/lease.rs
@@ -1,8 +1,8 @@
 //! Lease on the duties, based on conditional writes of a record.
 //!
-//! The receiver of a duty's calls may not compare fences, so two holders must not overlap in time. A holder sends a call
-//! only if its lease, counted from before its last write was requested, outlasts the call. Another box takes over only
-//! after it has seen the record unchanged for longer than that. No clocks are compared between boxes.
+//! The receiver of a duty's calls may not compare fences, so two holders must not overlap in time. A holder sends a
+//! call only if its lease, counted from before its last write was requested, outlasts the call. Another box takes over
+//! only after it has seen the record unchanged for longer than that. No clocks are compared between boxes.
 //!
 //! After a restore from a backup, the store may hold an older record or none, and may reuse revisions. A restore
 //! therefore ends every lease: each box waits as it does for another box's lease, and fences include the store's era so
@@ -21,14 +21,14 @@
 
 /// Durations of leases.
 #[derive(Debug, Clone, Copy)]
-pub struct LeaseTerms {
+pub struct LeaseConfig {
     /// Duration of a lease, counted from when its write was requested.
     pub lease_ms: u64,
     /// Maximum duration of a duty's call.
     pub call_ms: u64,
 }
 
-impl LeaseTerms {
+impl LeaseConfig {
     /// Time for which the record must be unchanged before another box may take over.
     fn takeover_ms(&self) -> u64 {
         self.lease_ms + IN_FLIGHT_MS
@@ -70,7 +70,7 @@
 pub struct Lease {
     me: Name,
     run: u64,
-    terms: LeaseTerms,
+    config: LeaseConfig,
     observed: Option<Observation>,
     pending: Option<Pending>,
     held_until_ms: u64,
@@ -83,11 +83,11 @@
 
 impl Lease {
     /// Creates the initial state for the box `me`. `run` identifies the run of its process.
-    pub fn new(me: Name, run: u64, terms: LeaseTerms) -> Self {
+    pub fn new(me: Name, run: u64, config: LeaseConfig) -> Self {
         Self {
             me,
             run,
-            terms,
+            config,
             observed: None,
             pending: None,
             held_until_ms: 0,
@@ -105,7 +105,7 @@
         match &observed.stored {
             None if self.era == 0 => LeaseStep::TakeOver,
             Some(stored) if self.is_own(&stored.record) => LeaseStep::Held,
-            _ if now_ms >= observed.since_ms + self.terms.takeover_ms() => LeaseStep::TakeOver,
+            _ if now_ms >= observed.since_ms + self.config.takeover_ms() => LeaseStep::TakeOver,
             _ => LeaseStep::Wait,
         }
     }
@@ -129,7 +129,7 @@
     /// Fence under which this box may send a duty's call now; `None` if it must not send one.
     pub fn fence(&self, now_ms: u64) -> Option<u64> {
         let record = self.record().filter(|record| self.is_own(record))?;
-        let is_held = now_ms + self.terms.call_ms <= self.held_until_ms;
+        let is_held = now_ms + self.config.call_ms <= self.held_until_ms;
         is_held.then_some(record.fence)
     }
 
@@ -192,7 +192,7 @@
         if is_changed && let Some(pending) = self.pending.take() {
             let record = stored.as_ref().map(|stored| &stored.record);
             if record == Some(&pending.record) {
-                self.held_until_ms = pending.first_requested_at_ms + self.terms.lease_ms;
+                self.held_until_ms = pending.first_requested_at_ms + self.config.lease_ms;
             }
         }
         if is_changed {
--- a/crates/ivyweir-policy/src/gateway/duty/report.rs
+++ b/crates/ivyweir-policy/src/gateway/duty/report.rs
@@ -17,14 +17,14 @@
 
 /// Schedule of usage reports.
 #[derive(Debug, Clone, Copy)]
-pub struct UsageTerms {
+pub struct UsageSchedule {
     /// Length of a usage window.
     pub window_ms: u64,
     /// Time between the end of a window and its report deadline.
     pub late_ms: u64,
 }
 
-impl UsageTerms {
+impl UsageSchedule {
     /// Number of the window that contains the wall-clock time `epoch_ms`.
     pub fn window_at(&self, epoch_ms: u64) -> u64 {
         epoch_ms / self.window_ms.max(1)
@@ -39,7 +39,7 @@
 
     /// The windows to fix now, oldest first. They start after `fixed`, or at `first` if no window was ever fixed.
     /// `receiving_ms` is the time for which this box has been receiving the counts of others.
-    pub fn to_fix(
+    pub fn windows_to_fix(
         &self,
         fixed: Option<u64>,
         first: Option<u64>,
--- a/crates/ivyweir-policy/src/gateway/duty/scaling.rs
+++ b/crates/ivyweir-policy/src/gateway/duty/scaling.rs
@@ -2,8 +2,8 @@
 //!
 //! Demand is the recent peak of requests in progress over all boxes. Capacity for it is kept at all times. The platform
 //! may reclaim all spot upstreams of a hall at once, so they are spread such that the loss of one hall leaves enough.
-//! On-demand upstreams are removed only once the spot upstreams that replace them are serving. Nothing is ordered before
-//! demand has been observed for some time.
+//! On-demand upstreams are removed only once the spot upstreams that replace them are serving. Nothing is ordered
+//! before demand has been observed for some time.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -204,6 +204,7 @@
         });
         let available = u32::try_from(available.count()).unwrap_or(count);
         let spot_needed = needed.saturating_sub(min_on_demand * count);
+        // The loss of one more hall is planned for only while all halls are available.
         let spare_halls = u32::from(available == count);
         // Spot upstreams start before the on-demand ones they replace stop, and both count towards the maximum.
         let on_demand_now = view
--- a/crates/ivyweir-policy/src/gateway/duty/usage.rs
+++ b/crates/ivyweir-policy/src/gateway/duty/usage.rs
@@ -1,9 +1,9 @@
 //! Usage counts: requests of each workspace that began in each window, summed over all boxes.
 //!
-//! Each box counts its own requests. Counts are sent along the same paths as work reports: to the relay of the hall, and
-//! from there to the other relays. The counts of one process run only increase and are merged by maximum, so a row that
-//! is received twice, late or from several boxes is counted once. Counts that were sent survive the box. A row is sent
-//! repeatedly until the receiver acknowledges it.
+//! Each box counts its own requests. Counts are sent along the same paths as work reports: to the relay of the hall,
+//! and from there to the other relays. The counts of one process run only increase and are merged by maximum, so a row
+//! that is received twice, late or from several boxes is counted once. Counts that were sent survive the box. A row is
+//! sent repeatedly until the receiver acknowledges it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -92,7 +92,7 @@
 #[derive(Debug, Default)]
 struct Peer {
     /// Position of this box in the changes of the other one.
-    heard: Option<UsageCursor>,
+    received: Option<UsageCursor>,
     /// Number of this box's last change that the other one acknowledged.
     acked_change: u64,
     updated_at_ms: Option<u64>,
@@ -192,7 +192,7 @@
                 change: self.changes,
             }),
             rows,
-            heard: known.heard,
+            heard: known.received,
             fixed_window: self.fixed_window,
         })
     }
@@ -206,12 +206,12 @@
         }
         let known = self.peers.entry(peer.clone()).or_default();
         if let Some(told) = update.told {
-            known.heard = Some(told);
+            known.received = Some(told);
             known.ack_due = true;
         }
         // Acknowledgements of an earlier run of this box do not apply to the current run.
-        let acked = update.heard.filter(|heard| heard.run == self.me.run);
-        known.acked_change = acked.map_or(0, |heard| heard.change);
+        let acked = update.heard.filter(|acked| acked.run == self.me.run);
+        known.acked_change = acked.map_or(0, |acked| acked.change);
         for row in update.rows {
             self.merge(row, is_local_hall);
         }
--- a/crates/ivyweir-policy/src/gateway/freshness.rs
+++ b/crates/ivyweir-policy/src/gateway/freshness.rs
@@ -1,11 +1,11 @@
 //! Proof that the active configuration was the newest one at a known time.
 //!
-//! A revoked key must stop working within a bounded time, even on a box that lost its connection to the store. A request
-//! with a key is therefore forwarded only while the newest proof is younger than the bound. A proof dates from when the
-//! store was *asked*, because its answer reflects a state at some time after that.
+//! A revoked key must stop working within a bounded time, even on a box that lost its connection to the store. A
+//! request with a key is therefore forwarded only while the newest proof is younger than the bound. A proof dates from
+//! when the store was *asked*, because its answer reflects a state at some time after that.
 
-/// Maximum difference between times of the same proof when another box reports it repeatedly, which is caused by varying
-/// network latency. It is below the minimum interval of 50 ms between two questions to the store.
+/// Maximum difference between times of the same proof when another box reports it repeatedly, which is caused by
+/// varying network latency. It is below the minimum interval of 50 ms between two questions to the store.
 const SAME_PROOF_TOLERANCE_MS: i64 = 25;
 
 /// Time of the newest proof, in milliseconds of the monotonic clock. It is negative if it lies before the start of the
--- a/crates/ivyweir-policy/src/gateway/retry_budget.rs
+++ b/crates/ivyweir-policy/src/gateway/retry_budget.rs
@@ -13,8 +13,8 @@
 
 /// Number of buckets in the window.
 const BUCKETS: u64 = 20;
-/// Share of the fleet's limit below which a box may exceed its own. Counts reach all boxes within 1.8 s. If every request
-/// of that time were sent three times, the fleet would reach its limit in a window of 10 s.
+/// Share of the fleet's limit below which a box may exceed its own. Counts reach all boxes within 1.8 s. If every
+/// request of that time were sent three times, the fleet would reach its limit in a window of 10 s.
 const FLEET_HEADROOM_SHARE: f64 = 0.6;
 /// Age from which the fleet's counts are ignored.
 const FLEET_MAX_AGE_MS: u64 = 1_500;
@@ -114,8 +114,8 @@
     pub fn counts(&mut self, limits: &RetryLimits, now_ms: u64) -> RetryCounts {
         self.current_bucket(limits, now_ms);
         RetryCounts {
-            requests: self.buckets.iter().map(|p| p.requests).sum(),
-            repeats: self.buckets.iter().map(|p| p.repeats).sum(),
+            requests: self.buckets.iter().map(|bucket| bucket.requests).sum(),
+            repeats: self.buckets.iter().map(|bucket| bucket.repeats).sum(),
         }
     }
 
@@ -124,11 +124,15 @@
         while self
             .buckets
             .front()
-            .is_some_and(|p| p.index + BUCKETS < index)
+            .is_some_and(|bucket| bucket.index + BUCKETS < index)
         {
             self.buckets.pop_front();
         }
-        if self.buckets.back().is_none_or(|p| p.index != index) {
+        if self
+            .buckets
+            .back()
+            .is_none_or(|bucket| bucket.index != index)
+        {
             self.buckets.push_back(Bucket {
                 index,
                 requests: 0,
--- a/crates/ivyweir-policy/tests/gateway_duties.rs
+++ b/crates/ivyweir-policy/tests/gateway_duties.rs
@@ -4,14 +4,14 @@
 
 use std::collections::BTreeMap;
 
-use ivyweir_policy::gateway::duty::lease::{Lease, LeaseStep, LeaseTerms};
+use ivyweir_policy::gateway::duty::lease::{Lease, LeaseConfig, LeaseStep};
 use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use ivyweir_policy::gateway::duty::{DutyRecord, StoredDuties};
 use ivyweir_standins::edge::{DutyCall, DutyPromise};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-const TERMS: LeaseTerms = LeaseTerms {
+const TERMS: LeaseConfig = LeaseConfig {
     lease_ms: 3_000,
     call_ms: 1_000,
 };
--- a/crates/ivyweir-policy/tests/gateway_usage.rs
+++ b/crates/ivyweir-policy/tests/gateway_usage.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::duty::report::UsageTerms;
+use ivyweir_policy::gateway::duty::report::UsageSchedule;
 use ivyweir_policy::gateway::duty::usage::{BoxRun, Counts, UpdateContent, UsageTable};
 use ivyweir_policy::gateway::duty::wall_clock::StableWallClock;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-const TERMS: UsageTerms = UsageTerms {
+const TERMS: UsageSchedule = UsageSchedule {
     window_ms: 5_000,
     late_ms: 10_000,
 };
@@ -225,7 +225,7 @@
     ($($name:ident: fixed $fixed:expr, first $first:expr, hearing $hearing_ms:expr, at $epoch_ms:expr => $windows:expr;)*) => {$(
         #[test]
         fn $name() {
-            let windows = TERMS.to_fix($fixed, $first, $hearing_ms, $epoch_ms);
+            let windows = TERMS.windows_to_fix($fixed, $first, $hearing_ms, $epoch_ms);
             assert_eq!(windows.collect::<Vec<u64>>(), $windows as [u64; _]);
         }
     )*};
