--- a/crates/ivyweir-gateway/src/admit.rs
+++ b/crates/ivyweir-gateway/src/admit.rs
@@ -52,7 +52,7 @@
     let workspace = workspace_of(gateway, &site, &route, &envelope)?;
     let seed = job::seed_of(&envelope);
     let pool = route.pool(seed).ok_or(Reason::NoUpstream)?.clone();
-    let side = gateway.side(&pool, envelope.session, seed);
+    let side = gateway.rollout_side(&pool, envelope.session, seed);
     let budget_ms = envelope.budget_ms.unwrap_or(route.timeout_ms);
     let deadline_ms = arrived_ms + budget_ms.min(route.timeout_ms);
     let fingerprint = Fingerprint::of(&RequestContent {
@@ -126,7 +126,7 @@
 
 /// A refusal of what does not exist, as far as this box may say so.
 fn deny(gateway: &Gateway, reason: Reason) -> Reason {
-    if gateway.may_deny() {
+    if gateway.may_report_not_found() {
         reason
     } else {
         Reason::NotCurrent
--- a/crates/ivyweir-gateway/src/adopt.rs
+++ b/crates/ivyweir-gateway/src/adopt.rs
@@ -47,7 +47,7 @@
     let items = readable_entries(gateway, topic, entries);
     if topic == Topic::Upstreams {
         let records: Vec<UpstreamRecord> = items.into_iter().filter_map(Item::upstream).collect();
-        gateway.change_upstream(Source::Record, |fleet, now_ms| match kind {
+        gateway.update_fleet(Source::Record, |fleet, now_ms| match kind {
             ListingKind::Complete => fleet.replace_all(records, now_ms),
             ListingKind::Incomplete => fleet.merge(records, now_ms),
         });
@@ -127,14 +127,14 @@
             PassedChange::Gone(name) => remove(gateway, topic, &name),
         }
     }
-    let records = gateway.bulk(topic);
+    let records = gateway.approximate_len(topic);
     gateway.histories.push(topic, revision, changes, records);
 }
 
 fn adopt_item(gateway: &Gateway, revision: Revision, item: Item) {
     match item {
         Item::Site(site) => adopt_site(gateway, revision, *site),
-        Item::Upstream(record) => gateway.change_upstream(Source::Record, |fleet, now_ms| {
+        Item::Upstream(record) => gateway.update_fleet(Source::Record, |fleet, now_ms| {
             let id = record.id.clone();
             vec![(id, fleet.put(record, now_ms))]
         }),
@@ -146,7 +146,7 @@
 /// Takes in that the record of this name is gone.
 fn remove(gateway: &Gateway, topic: Topic, name: &Name) {
     match topic {
-        Topic::Upstreams => gateway.change_upstream(Source::Record, |fleet, now_ms| {
+        Topic::Upstreams => gateway.update_fleet(Source::Record, |fleet, now_ms| {
             let change = fleet.mark_lapsed(name, now_ms);
             vec![(name.clone(), change)]
         }),
@@ -169,7 +169,7 @@
     });
     gateway.log.line("rollout_seen", detail);
     if order.state == RolloutState::Completed {
-        gateway.settle(&order.pool, &order.target_version);
+        gateway.set_default_version(&order.pool, &order.target_version);
     }
     gateway.with_rollouts(|rollouts, now_ms| match rollouts.get_mut(&order.pool) {
         Some(track) => track.update(order, now_ms),
--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -56,7 +56,7 @@
     /// Takes in that the request is sent now.
     fn begin(&mut self) {
         self.is_running = true;
-        self.gateway.run_began(&self.upstream.id, self.key);
+        self.gateway.record_run_start(&self.upstream.id, self.key);
     }
 
     /// Takes in that the upstream has nothing more to do with the request.
@@ -69,14 +69,14 @@
     pub fn complete(&mut self, is_success: bool) {
         self.settle();
         if is_success {
-            self.gateway.run_completed(self.key.fingerprint);
+            self.gateway.record_run_completion(self.key.fingerprint);
         }
     }
 
     fn leave(&mut self, how: RunEnd) {
         if std::mem::take(&mut self.is_running) {
             let id = &self.upstream.id;
-            self.gateway.run_left(id, self.key, how);
+            self.gateway.record_run_end(id, self.key, how);
         }
     }
 
@@ -116,7 +116,7 @@
     pub fn broke(&mut self) {
         self.outcome(true);
         self.leave(RunEnd::ConnectionLost);
-        self.gateway.run_broke(self.key.fingerprint);
+        self.gateway.record_broken_connection(self.key.fingerprint);
         ends::look(&self.gateway, &self.upstream);
     }
 }
@@ -221,7 +221,7 @@
         let sent_at_ms = gateway.clock.now_ms();
         lease.begin();
         let limit = Duration::from_millis(sending.wait_ms);
-        let mut replaced = gateway.watch_replaced(&upstream.id);
+        let mut replaced = gateway.watch_replacement(&upstream.id);
         let answer = tokio::select! {
             answer = timeout(limit, channel.send(request)) => answer,
             () = replaced.replaced(gateway) => {
@@ -280,7 +280,7 @@
             let detail = json!({"upstream": upstream.id, "error": e.to_string()});
             trace.fail("connect_failed", detail);
             if e.kind() == io::ErrorKind::ConnectionRefused {
-                gateway.upstream_ended(upstream);
+                gateway.record_upstream_termination(upstream);
             }
             gateway.with_load(&upstream.id, |load, now_ms| {
                 load.record_connection_failure(now_ms)
@@ -301,7 +301,7 @@
     trace: &mut Trace,
 ) -> Sent {
     let status = response.status().as_u16();
-    gateway.note_unread(&lease.upstream.id, response.headers());
+    gateway.note_unread_headers(&lease.upstream.id, response.headers());
     let marks = gateway.dialect.answer(status, response.headers());
     let keep_ms = keep_time_ms(response.headers());
     let is_framed = is_framed(response.headers());
@@ -321,12 +321,12 @@
     if marks.is_other_incarnation {
         trace.fail("other_incarnation", detail);
         lease.settle();
-        gateway.upstream_left(upstream);
+        gateway.mark_upstream_left(upstream);
         count(gateway, job, "other_incarnation");
         return Sent::NotRun { arrived: true };
     }
     // Before anything is made of the answer: whatever becomes of it, its upstream has spoken.
-    gateway.hear(upstream, &statement);
+    gateway.apply_statement(upstream, &statement);
     count_statement(gateway, job, &statement);
     if marks.not_run {
         trace.fail("upstream_refused", detail);
--- a/crates/ivyweir-gateway/src/drive.rs
+++ b/crates/ivyweir-gateway/src/drive.rs
@@ -12,7 +12,7 @@
 use crate::adopt::adopt_rollout;
 use crate::client::ANSWER_LIMIT;
 use crate::state::Gateway;
-use crate::state::counts_of;
+use crate::state::tally_json;
 use crate::store_client::{StoreAnswer, StoreClient};
 
 /// How often duties are looked at.
@@ -93,14 +93,14 @@
     order: RolloutOrder,
     duty: RolloutDuty,
 ) {
-    let request = gateway.codec.write_rollout(&order);
+    let request = gateway.store_codec.write_rollout(&order);
     let outcome = match client.call(request, ANSWER_LIMIT).await {
         Ok(answer) => take_answer(gateway, &answer),
         Err(e) => Err(e.to_string()),
     };
     let counts = gateway.with_rollouts(|rollouts, _| {
         let track = rollouts.get(&order.pool);
-        track.map(|track| counts_of(&track.total_tally()))
+        track.map(|track| tally_json(&track.total_tally()))
     });
     let outcome_text = match &outcome {
         Ok(outcome) => outcome,
@@ -124,7 +124,7 @@
         StatusCode::CONFLICT => "conflict",
         status => return Err(format!("status {}", status.as_u16())),
     };
-    let now = gateway.codec.rollout(&answer.body);
+    let now = gateway.store_codec.rollout(&answer.body);
     let mut now = now.map_err(|e| e.to_string())?;
     now.era = answer.era;
     adopt_rollout(gateway, now);
--- a/crates/ivyweir-gateway/src/duties.rs
+++ b/crates/ivyweir-gateway/src/duties.rs
@@ -106,7 +106,7 @@
             store: StoreClient::new(gateway.clone()),
             platform: Client::new(settings.addr),
             call_limit: Duration::from_millis(call_ms),
-            lease: Lease::new(me, gateway.run, terms),
+            lease: Lease::new(me, gateway.run_id, terms),
             hearing_since_ms: None,
             accepted: BTreeSet::new(),
             unsent: Vec::new(),
@@ -167,7 +167,7 @@
             hearing_ms,
             gateway.usage_epoch_ms(),
         );
-        let counts = gateway.usage_of(windows).into_iter();
+        let counts = gateway.usage_totals(windows).into_iter();
         let reports = counts.map(|(window, counts)| UsageReport { window, counts });
         reports.collect()
     }
@@ -179,7 +179,7 @@
     }
 
     async fn read(&mut self) -> Result<(), CallError> {
-        let request = self.gateway.codec.read_duties();
+        let request = self.gateway.store_codec.read_duties();
         self.ask_store(request).await
     }
 
@@ -189,7 +189,7 @@
         let (record, revision) = self
             .lease
             .write(now_ms, |record| news.write_to(record, accepted));
-        let request = self.gateway.codec.write_duties(&record, revision);
+        let request = self.gateway.store_codec.write_duties(&record, revision);
         self.ask_store(request).await
     }
 
@@ -202,7 +202,7 @@
         let answer = answer?;
         let stored = match answer.status {
             StatusCode::OK | StatusCode::CREATED | StatusCode::CONFLICT => {
-                let stored = self.gateway.codec.duties(&answer.body);
+                let stored = self.gateway.store_codec.duties(&answer.body);
                 Some(stored.map_err(CallError::unreadable)?)
             }
             StatusCode::NOT_FOUND => None,
--- a/crates/ivyweir-gateway/src/duties/orders.rs
+++ b/crates/ivyweir-gateway/src/duties/orders.rs
@@ -15,7 +15,7 @@
         else {
             return Vec::new();
         };
-        let running = self.gateway.fleet_running();
+        let running = self.gateway.fleet_running_requests();
         let drained_halls = self.gateway.drained_halls();
         let mut orders = Vec::new();
         for pool in &site.site().pools {
--- a/crates/ivyweir-gateway/src/ends.rs
+++ b/crates/ivyweir-gateway/src/ends.rs
@@ -18,7 +18,7 @@
 /// Looks whether anybody listens at an upstream's address. Of all requests whose connections broke at once,
 /// one looks.
 pub fn look(gateway: &Arc<Gateway>, upstream: &Arc<UpstreamRecord>) {
-    if !gateway.begin_look(&upstream.id) {
+    if !gateway.begin_termination_check(&upstream.id) {
         return;
     }
     let (gateway, upstream) = (gateway.clone(), upstream.clone());
@@ -31,12 +31,12 @@
                 channels.keep(&upstream.id, channel, KEEP_MS, now_ms);
             }
             Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                gateway.upstream_ended(&upstream);
+                gateway.record_upstream_termination(&upstream);
             }
             // Silence tells nothing: the way there may be cut.
             Err(_) => {}
         }
         // Who waits for this acts by what was found.
-        gateway.end_look(&upstream.id);
+        gateway.finish_termination_check(&upstream.id);
     });
 }
--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -107,14 +107,15 @@
     histories.note_copy(question.topic, question.since, &question.from);
     let until_ms = asked_at_ms + question.wait_ms;
     let mut news = histories.news();
-    let proof_at_ms = gateway.proof_at_ms();
+    let proof_at_ms = gateway.proof_asked_at_ms();
     let mut sourceless_since_ms = None;
     loop {
         let now_ms = gateway.clock.now_ms();
         let wake_ms = match histories.behind(question.topic, question.since, question.asker) {
             Ok(behind) => {
                 sourceless_since_ms = None;
-                let renewed = question.topic == Topic::Site && gateway.proof_at_ms() > proof_at_ms;
+                let renewed =
+                    question.topic == Topic::Site && gateway.proof_asked_at_ms() > proof_at_ms;
                 if behind.is_some() || renewed || now_ms >= until_ms {
                     let held_ms = now_ms - asked_at_ms;
                     match follow_answer(gateway, &question, behind, held_ms) {
@@ -179,7 +180,7 @@
 /// All records of a topic, or who gives them; none where nobody can now.
 fn whole(gateway: &Gateway, question: &Question) -> Option<Whole> {
     let here = || Whole::Here(gateway.items(question.topic));
-    if question.asker != Asker::Follower || gateway.bulk(question.topic) <= BULK_INLINE {
+    if question.asker != Asker::Follower || gateway.approximate_len(question.topic) <= BULK_INLINE {
         return Some(here());
     }
     let now_ms = gateway.clock.now_ms();
--- a/crates/ivyweir-gateway/src/gather.rs
+++ b/crates/ivyweir-gateway/src/gather.rs
@@ -38,7 +38,7 @@
     let left_ms = job.deadline_ms.saturating_sub(gateway.clock.now_ms());
     let limit = Duration::from_millis(left_ms);
     let upstream = lease.upstream.id.clone();
-    let mut replaced = gateway.watch_replaced(&upstream);
+    let mut replaced = gateway.watch_replacement(&upstream);
     let body = tokio::select! {
         biased;
         body = timeout(limit, Limited::new(body, WHOLE_ANSWER_BYTES).collect()) => body,
--- a/crates/ivyweir-gateway/src/judge.rs
+++ b/crates/ivyweir-gateway/src/judge.rs
@@ -36,7 +36,7 @@
         return;
     };
     if gateway.settings.policy.learn_pace {
-        gateway.with_pace(&job.pool, |pace| {
+        gateway.with_prefill_pace(&job.pool, |pace| {
             pace.record(model, tokens.prompt(), reply.head_after_ms);
         });
     }
--- a/crates/ivyweir-gateway/src/keep.rs
+++ b/crates/ivyweir-gateway/src/keep.rs
@@ -68,7 +68,7 @@
         let quarantined = self.gateway.quarantined();
         let released: Vec<Fingerprint> = self.kept.difference(&quarantined).copied().collect();
         for fingerprint in released {
-            let request = self.gateway.codec.drop_quarantine(fingerprint);
+            let request = self.gateway.store_codec.drop_quarantine(fingerprint);
             self.write(request, &[StatusCode::OK, StatusCode::NOT_FOUND])
                 .await?;
             self.kept.remove(&fingerprint);
@@ -92,7 +92,7 @@
     /// Reads the records: those gone within an era of the store were lifted by an operator, others may have outlasted all
     /// boxes.
     async fn look(&mut self) -> Result<(), CallError> {
-        let request = self.gateway.codec.list_quarantines();
+        let request = self.gateway.store_codec.list_quarantines();
         let answer = self.call(request).await?;
         // A store that never held one may not know the kind.
         let records = match answer.status {
@@ -116,7 +116,7 @@
 
     /// The records that can be read.
     fn read(&self, answer: &StoreAnswer) -> Result<Vec<QuarantineRecord>, CallError> {
-        let entries = self.gateway.codec.quarantines(&answer.body);
+        let entries = self.gateway.store_codec.quarantines(&answer.body);
         let mut records = Vec::new();
         for entry in entries.map_err(CallError::unreadable)? {
             match entry {
@@ -138,7 +138,7 @@
         let Some(record) = self.gateway.quarantine_record(fingerprint) else {
             return Ok(());
         };
-        let request = self.gateway.codec.keep_quarantine(&record);
+        let request = self.gateway.store_codec.keep_quarantine(&record);
         let written = [StatusCode::OK, StatusCode::CREATED, StatusCode::CONFLICT];
         self.write(request, &written).await?;
         self.kept.insert(fingerprint);
--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -147,7 +147,7 @@
     }
     drain(&gateway, &stop).await;
     server.abort();
-    let detail = json!({"requests_left": gateway.active()});
+    let detail = json!({"requests_left": gateway.active_requests()});
     gateway.log.line("stopped", detail);
     Ok(())
 }
@@ -193,7 +193,7 @@
     gateway.stop();
     gateway
         .log
-        .line("stopping", json!({"requests": gateway.active()}));
+        .line("stopping", json!({"requests": gateway.active_requests()}));
     let grace_ms = gateway.settings.bounds.stop_grace_ms();
     let end = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(END_MARGIN_MS));
     let notice = Duration::from_millis(admit::STOP_NOTICE_MS);
@@ -201,7 +201,7 @@
     // The receiver lives as long as the server's task.
     let _server_gone = stop.send(true);
     sleep(POLL).await;
-    while gateway.active() > 0 && Instant::now() < end {
+    while gateway.active_requests() > 0 && Instant::now() < end {
         sleep(POLL).await;
     }
     // The last answers leave the kernel's buffers.
@@ -215,7 +215,7 @@
     loop {
         sleep(SWEEP).await;
         if let Some(lasted_ms) = suspension.look(&gateway.clock) {
-            gateway.woke(lasted_ms);
+            gateway.handle_suspension(lasted_ms);
         }
         gateway.sweep();
         let ready = gateway.is_ready();
@@ -260,7 +260,7 @@
             let revision = gateway.histories.revision(*topic);
             belief(&format!("revision_{}", topic.name()), revision.number);
         }
-        belief("requests_active", gateway.active());
+        belief("requests_active", gateway.active_requests());
         belief("requests_quarantined", gateway.quarantined().len() as u64);
         belief("log_lines_dropped", gateway.log.dropped());
         (StatusCode::OK, gateway.metrics.text())
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -17,7 +17,7 @@
 use crate::judge::judge_head;
 use crate::log::Trace;
 use crate::refusal::Reason;
-use crate::state::{Active, Gateway};
+use crate::state::{ActiveRequest, Gateway};
 use crate::stream;
 use crate::tries::{Tries, choose, may_repeat, next_reply};
 
@@ -101,7 +101,7 @@
     gateway: &Arc<Gateway>,
     job: Arc<Job>,
     mut trace: Trace,
-    active: Active,
+    active: ActiveRequest,
 ) -> Result<Response<AnswerBody>, Reason> {
     gateway.count_request(&job.pool);
     let mut tries = Tries::default();
@@ -126,7 +126,7 @@
         if !std::mem::replace(&mut has_begun, true)
             && let Some(workspace) = &job.workspace
         {
-            gateway.count_begun(&workspace.name);
+            gateway.count_usage(&workspace.name);
         }
         judge_head(gateway, &job, &reply, tries.model);
         match use_of(gateway, &job, &mut tries, &reply, &mut trace) {
@@ -157,7 +157,7 @@
             Ok(answer) => return Ok(answer),
             Err(upstream) => {
                 tries.may_have_run = true;
-                gateway.until_looked(&upstream).await;
+                gateway.wait_for_termination_check(&upstream).await;
                 tries.tried.push(upstream);
                 if !may_repeat(gateway, &job, &tries) {
                     trace.fail("refused", json!({"reason": Reason::AnswerLost.name()}));
@@ -176,7 +176,7 @@
     model: usize,
     tries: &Tries,
     mut trace: Trace,
-    active: Active,
+    active: ActiveRequest,
 ) -> Response<AnswerBody> {
     let detail = json!({
         "upstream": reply.lease.upstream.id, "model": model,
@@ -194,7 +194,7 @@
     smaller: Kept,
     tries: &Tries,
     mut trace: Trace,
-    active: Active,
+    active: ActiveRequest,
 ) -> Response<AnswerBody> {
     trace.step("larger_model_failed", json!({"from": tries.model}));
     let Kept { reply, model } = smaller;
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -1,17 +1,17 @@
-//! What a box knows and shares between its tasks.
+//! State of a box that its tasks share.
 
-mod proof;
+mod freshness;
+mod placement;
 mod quarantine;
-mod repeats;
+mod queues;
+mod retries;
 mod rollouts;
-mod sending;
+mod scaling;
 mod statements;
 mod store_era;
-mod supply;
-mod unread;
-mod unreadable;
+mod unread_headers;
+mod unreadable_records;
 mod usage;
-mod waiting;
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -31,13 +31,13 @@
 use ivyweir_policy::gateway::upstreams::Upstreams;
 use ivyweir_policy::hash::hash64;
 use quarantine::Quarantine;
+use queues::Queues;
 use serde_json::json;
 use store_era::StoreEra;
 use tokio::sync::{Notify, watch};
-use unread::UnreadHeaders;
-use unreadable::UnreadableRecords;
-use usage::UsageCount;
-use waiting::Queues;
+use unread_headers::UnreadHeaders;
+use unreadable_records::UnreadableRecords;
+use usage::UsageCounter;
 
 use crate::channel::Channels;
 use crate::clock::Clock;
@@ -49,73 +49,73 @@
 use crate::settings::Settings;
 use crate::store_news::StoreNews;
 
-pub use quarantine::{ReplacedWatch, Suspicion};
-pub use rollouts::counts_of;
-pub use waiting::Waiter;
+pub use quarantine::{ReplacementWatch, Suspicion};
+pub use queues::Waiter;
+pub use rollouts::tally_json;
 
-/// Part of the time for a leaving upstream's last work that is left for the way there.
+/// Part of the time within which a leaving upstream must have its last work that is reserved for network latency.
 const LEAVING_MARGIN_MS: u64 = 700;
 
-/// Upstreams that joined at once up to which each has a line in the log.
-const JOINED_LOGGED: usize = 20;
+/// Maximum number of upstreams in one update whose joining is logged individually.
+const MAX_JOINS_LOGGED: usize = 20;
 
-/// A box's state; every part has its own lock, and none is held across a wait.
+/// State of a box. Each part has its own lock, and no lock is held across an `await`.
 pub struct Gateway {
-    /// The settings it started with.
+    /// Settings as read at the start.
     pub settings: Settings,
-    /// Differs between runs of this box's process.
-    pub run: u64,
-    /// Steady clock.
+    /// Random id of this run of the process.
+    pub run_id: u64,
+    /// Monotonic clock.
     pub clock: Clock,
-    /// Names on requests and answers.
+    /// Header names and message formats towards callers and upstreams.
     pub dialect: Arc<dyn Dialect>,
-    /// The store's messages.
-    pub codec: Arc<dyn StoreCodec>,
-    /// Messages of duties.
+    /// Messages to and from the store.
+    pub store_codec: Arc<dyn StoreCodec>,
+    /// Messages of the duties to the platform.
     pub duty_codec: Arc<dyn DutyCodec>,
-    /// Decisions, written down.
+    /// Event log.
     pub log: Log,
-    /// Counters.
+    /// Metrics.
     pub metrics: Metrics,
-    /// Kept connections to upstreams.
+    /// Idle connections to upstreams.
     pub channels: Channels,
-    /// Other boxes.
+    /// Membership and reports of the other boxes.
     pub peers: Peers,
-    /// What this box passes on to others.
+    /// Recent changes of the topics, for boxes that follow this one.
     pub histories: Histories,
-    /// What followers of topics tell each other of the store.
+    /// Notifications about the store between the tasks that follow topics.
     pub store_news: StoreNews,
     store_era: Mutex<StoreEra>,
     site: Mutex<Option<Arc<SiteIndex>>>,
     proof: Mutex<FreshnessProof>,
     upstreams: Mutex<Upstreams>,
     rollouts: Mutex<HashMap<Name, RolloutTracker>>,
-    budgets: Mutex<HashMap<Name, RetryBudget>>,
-    /// What all boxes counted of repeats, by pool.
-    fleet_repeats: Mutex<HashMap<Name, FleetCounts>>,
-    paces: Mutex<HashMap<Name, PrefillPace>>,
+    retry_budgets: Mutex<HashMap<Name, RetryBudget>>,
+    /// Requests and retries of all boxes, by pool.
+    fleet_retry_counts: Mutex<HashMap<Name, FleetCounts>>,
+    prefill_paces: Mutex<HashMap<Name, PrefillPace>>,
     quarantine: Mutex<Quarantine>,
-    /// Requests that wait for upstreams that want nothing for now.
+    /// Requests that wait until an upstream accepts requests again.
     queues: Mutex<Queues>,
-    /// Requests that began, where usage is reported.
-    usage: Mutex<UsageCount>,
-    /// Records of the store that cannot be read.
-    unreadable: Mutex<UnreadableRecords>,
-    /// Names on answers that nobody reads.
-    unread: Mutex<UnreadHeaders>,
-    /// Counts how often incarnations of upstreams were replaced.
+    /// Counts of started requests, if usage is reported.
+    usage: Mutex<UsageCounter>,
+    /// Records of the store that cannot be decoded.
+    unreadable_records: Mutex<UnreadableRecords>,
+    /// Headers of answers that no code reads.
+    unread_headers: Mutex<UnreadHeaders>,
+    /// Number of updates in which incarnations of upstreams were replaced.
     replacements: watch::Sender<u64>,
-    /// Counts how often it was found out whether an upstream ended.
-    looks: watch::Sender<u64>,
-    /// Told when there is something that other boxes must know at once.
-    urgent: Notify,
-    synced: Mutex<Vec<Topic>>,
+    /// Number of finished checks whether an upstream terminated.
+    termination_checks: watch::Sender<u64>,
+    /// Notified when there is an update that other boxes need immediately.
+    urgent_update: Notify,
+    synced_topics: Mutex<Vec<Topic>>,
     stopping_since_ms: AtomicU64,
-    active: AtomicU64,
+    active_requests: AtomicU64,
 }
 
 impl Gateway {
-    /// A box that knows nothing yet.
+    /// Creates the state of a box that has no configuration and no upstreams yet.
     pub fn new(settings: Settings, clock: Clock, adapter: Adapter, log: Log) -> Self {
         let me = BoxRecord {
             name: settings.box_name.clone(),
@@ -123,17 +123,17 @@
             peer_addr: settings.peer_addr,
             cpu_milli: (settings.machine.cpu_share * 1_000.0) as u32,
         };
-        let own = hash64(&[me.name.as_bytes()]);
-        // Other readers of JSON keep 53 bits of a number.
-        let run = u64::from(rand::random::<u32>());
-        let peers = Peers::new(me, run, settings.seed_addrs.clone());
+        let box_seed = hash64(&[me.name.as_bytes()]);
+        // 32 bits, because JSON parsers that read numbers as doubles keep only 53.
+        let run_id = u64::from(rand::random::<u32>());
+        let peers = Peers::new(me, run_id, settings.seed_addrs.clone());
         Self {
             clock,
             dialect: adapter.dialect,
-            codec: adapter.store,
+            store_codec: adapter.store,
             duty_codec: adapter.duties,
-            usage: Mutex::new(UsageCount::new(&settings, run)),
-            run,
+            usage: Mutex::new(UsageCounter::new(&settings, run_id)),
+            run_id,
             settings,
             log,
             metrics: Metrics::default(),
@@ -144,30 +144,30 @@
             store_era: Mutex::default(),
             site: Mutex::default(),
             proof: Mutex::default(),
-            upstreams: Mutex::new(Upstreams::new(own)),
+            upstreams: Mutex::new(Upstreams::new(box_seed)),
             rollouts: Mutex::default(),
-            budgets: Mutex::default(),
-            fleet_repeats: Mutex::default(),
-            paces: Mutex::default(),
+            retry_budgets: Mutex::default(),
+            fleet_retry_counts: Mutex::default(),
+            prefill_paces: Mutex::default(),
             quarantine: Mutex::default(),
             queues: Mutex::default(),
-            unreadable: Mutex::default(),
-            unread: Mutex::default(),
+            unreadable_records: Mutex::default(),
+            unread_headers: Mutex::default(),
             replacements: watch::Sender::default(),
-            looks: watch::Sender::default(),
-            urgent: Notify::new(),
-            synced: Mutex::default(),
+            termination_checks: watch::Sender::default(),
+            urgent_update: Notify::new(),
+            synced_topics: Mutex::default(),
             stopping_since_ms: AtomicU64::new(0),
-            active: AtomicU64::new(0),
+            active_requests: AtomicU64::new(0),
         }
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     pub fn site(&self) -> Option<Arc<SiteIndex>> {
         lock(&self.site).clone()
     }
 
-    /// Adopts a configuration if it is newer than the one in force; returns whether it was.
+    /// Activates a configuration if it is newer than the active one; returns whether it was.
     pub fn adopt_site(&self, index: SiteIndex) -> bool {
         let mut site = lock(&self.site);
         let version = index.site().version;
@@ -178,7 +178,7 @@
         true
     }
 
-    /// The records of a topic as this box knows them.
+    /// The known records of a topic.
     pub fn items(&self, topic: Topic) -> Vec<Item> {
         match topic {
             Topic::Site => {
@@ -191,7 +191,7 @@
                 ready.into_iter().map(Item::Upstream).collect()
             }
             Topic::Rollouts => self.with_rollouts(|rollouts, _| {
-                let orders = rollouts.values().map(|track| track.order().clone());
+                let orders = rollouts.values().map(|tracker| tracker.order().clone());
                 orders.map(Item::Rollout).collect()
             }),
             Topic::DrainedHalls => {
@@ -201,8 +201,8 @@
         }
     }
 
-    /// How many records a topic has, about; of a configuration, how many routes.
-    pub fn bulk(&self, topic: Topic) -> usize {
+    /// Approximate number of records of a topic, or of routes for the configuration.
+    pub fn approximate_len(&self, topic: Topic) -> usize {
         match topic {
             Topic::Site => self.site().map_or(0, |site| site.site().routes.len()),
             Topic::Upstreams => lock(&self.upstreams).fleet().len(),
@@ -210,9 +210,9 @@
         }
     }
 
-    /// What this box has to tell others.
-    pub fn own_word(&self) -> PeerReport {
-        let tallies = self.own_tallies();
+    /// Report of this box for other boxes.
+    pub fn local_report(&self) -> PeerReport {
+        let tallies = self.local_tallies();
         let upstreams = lock(&self.upstreams);
         let work = upstreams.local_work();
         let orders_upstreams = self.settings.duties.is_some_and(|d| d.order_upstreams);
@@ -225,39 +225,39 @@
         PeerReport {
             work,
             tallies,
-            repeats: self.own_repeats(),
+            repeats: self.local_retry_counts(),
             running,
         }
     }
 
-    /// Takes in what others told; `word.repeats` counts for all boxes.
-    pub fn take_others_word(&self, word: PeerReport) {
-        self.take_fleet_repeats(word.repeats);
-        for (pool, tally) in word.tallies {
-            self.hear_tally(&pool, tally);
+    /// Applies the sum of the reports of other boxes. `report.repeats` includes this box.
+    pub fn apply_remote_report(&self, report: PeerReport) {
+        self.set_fleet_retry_counts(report.repeats);
+        for (pool, tally) in report.tallies {
+            self.set_remote_tally(&pool, tally);
         }
-        if word.work.is_empty() || !self.settings.policy.hear_work {
+        if report.work.is_empty() || !self.settings.policy.hear_work {
             return;
         }
         let now_ms = self.clock.now_ms();
-        lock(&self.upstreams).set_peer_work(word.work, now_ms);
+        lock(&self.upstreams).set_peer_work(report.work, now_ms);
     }
 
-    /// Takes in that a topic was listed in full.
-    pub fn set_synced(&self, topic: Topic) {
-        let mut synced = lock(&self.synced);
-        if !synced.contains(&topic) {
-            synced.push(topic);
+    /// Records that a topic was read in full.
+    pub fn mark_synced(&self, topic: Topic) {
+        let mut synced_topics = lock(&self.synced_topics);
+        if !synced_topics.contains(&topic) {
+            synced_topics.push(topic);
             self.histories.tell();
         }
     }
 
-    /// Whether this box knows enough to serve.
+    /// Whether all topics have been read and there is an active configuration, as required for serving.
     pub fn is_synced(&self) -> bool {
-        lock(&self.synced).len() == self.topics().len() && lock(&self.site).is_some()
+        lock(&self.synced_topics).len() == self.topics().len() && lock(&self.site).is_some()
     }
 
-    /// What this box follows; it serves once it has read all of it.
+    /// Topics that this box follows; it serves once it has read all of them.
     pub fn topics(&self) -> &'static [Topic] {
         if self.settings.bounds.hall_drain_ms.is_some() {
             &Topic::ALL
@@ -266,13 +266,13 @@
         }
     }
 
-    /// Begins the stop.
+    /// Starts the shutdown.
     pub fn stop(&self) {
         self.stopping_since_ms
             .store(self.clock.now_ms().max(1), Ordering::Relaxed);
     }
 
-    /// Time since the order to stop, if there was one.
+    /// Time since the start of the shutdown; `None` if it has not started.
     pub fn stopping_for_ms(&self) -> Option<u64> {
         match self.stopping_since_ms.load(Ordering::Relaxed) {
             0 => None,
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Reads the seeds from the settings file again: which boxes there are may have changed.
+    /// Reloads the seed addresses from the settings file, for when boxes were added or removed.
     pub fn reload_seeds(&self) {
         let Some(file) = &self.settings.file else {
             return;
@@ -299,28 +299,28 @@
         }
     }
 
-    /// Takes in that the machine was suspended for `lasted_ms`. Ages have grown by that already; what waits looks at
-    /// them anew, and what was asked of the store before is not waited for.
-    pub fn woke(&self, lasted_ms: u64) {
+    /// Handles a suspension of the machine that lasted for `lasted_ms`. Ages already include that time. Waiting tasks
+    /// are woken to check them again, and answers that the store still owes are no longer awaited.
+    pub fn handle_suspension(&self, lasted_ms: u64) {
         let detail = json!({"lasted_ms": lasted_ms, "proof_age_ms": self.proof_age_ms()});
         self.log.line("woke", detail);
         self.store_news.store_lost();
         self.histories.tell();
     }
 
-    /// Counts a request until the returned guard is dropped.
-    pub fn begin_request(self: &Arc<Self>) -> Active {
-        self.active.fetch_add(1, Ordering::Relaxed);
-        Active(self.clone())
+    /// Counts a request as active until the returned guard is dropped.
+    pub fn begin_request(self: &Arc<Self>) -> ActiveRequest {
+        self.active_requests.fetch_add(1, Ordering::Relaxed);
+        ActiveRequest(self.clone())
     }
 
-    /// Requests under way.
-    pub fn active(&self) -> u64 {
-        self.active.load(Ordering::Relaxed)
+    /// Number of active requests.
+    pub fn active_requests(&self) -> u64 {
+        self.active_requests.load(Ordering::Relaxed)
     }
 
-    /// Takes in a change of upstreams that was heard there.
-    pub fn change_upstream(
+    /// Applies a change to the fleet of upstreams and logs the result; `source` is where the change was learned.
+    pub fn update_fleet(
         &self,
         source: Source,
         change: impl FnOnce(&mut Fleet, u64) -> Vec<(Name, FleetChange)>,
@@ -330,18 +330,18 @@
         let changes = change(upstreams.fleet(), now_ms);
         let replaced = upstreams.fleet().take_replaced();
         drop(upstreams);
-        self.upstreams_replaced(&replaced);
-        // A box that starts hears of all upstreams at once.
+        self.record_replacements(&replaced);
+        // A starting box learns of all upstreams in one update.
         let joined = changes.iter().filter(|(_, c)| *c == FleetChange::Joined);
         let joined = joined.count();
-        let is_told_in_all = joined > JOINED_LOGGED;
-        if is_told_in_all {
+        let is_summarized = joined > MAX_JOINS_LOGGED;
+        if is_summarized {
             self.log
                 .line("upstreams_joined", json!({"upstreams": joined}));
         }
         for (id, change) in changes {
-            let is_told = is_told_in_all && change == FleetChange::Joined;
-            if change != FleetChange::Nothing && !is_told {
+            let is_logged = is_summarized && change == FleetChange::Joined;
+            if change != FleetChange::Nothing && !is_logged {
                 self.log_change(&id, change, source);
             }
         }
@@ -354,7 +354,8 @@
         self.log.line("upstream_changed", detail);
     }
 
-    /// Forgets what lapsed long ago, and closes connections that nobody will use.
+    /// Removes upstreams that lapsed long ago and other expired state, and closes idle connections that are no longer
+    /// needed.
     pub fn sweep(&self) {
         let now_ms = self.clock.now_ms();
         let grace_ms = self
@@ -363,17 +364,17 @@
             .leaving_ms
             .saturating_sub(LEAVING_MARGIN_MS);
         let mut upstreams = lock(&self.upstreams);
-        let forgotten = upstreams.sweep(grace_ms, now_ms);
+        let removed = upstreams.sweep(grace_ms, now_ms);
         self.channels.sweep(|id| upstreams.contains(id), now_ms);
         drop(upstreams);
         self.sweep_quarantine();
         self.sweep_usage();
-        for id in forgotten {
+        for id in removed {
             self.log.line("upstream_forgotten", json!({"upstream": id}));
         }
     }
 
-    /// Changes what is known of an upstream's load.
+    /// Updates the load of an upstream.
     pub fn with_load(&self, id: &Name, change: impl FnOnce(&mut UpstreamLoad, u64)) {
         let now_ms = self.clock.now_ms();
         let mut upstreams = lock(&self.upstreams);
@@ -381,12 +382,12 @@
     }
 }
 
-/// Counts a request while it lives.
-pub struct Active(Arc<Gateway>);
+/// Counts a request as active while it exists.
+pub struct ActiveRequest(Arc<Gateway>);
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.0.active.fetch_sub(1, Ordering::Relaxed);
+        self.0.active_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
--- a/crates/ivyweir-gateway/src/state/sending.rs
+++ b/crates/ivyweir-gateway/src/state/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests may be sent: drained halls, cold upstreams, and the choice among the rest.
+//! Placement of requests on upstreams, subject to drained halls, cold starts and limits.
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
@@ -14,19 +14,19 @@
 use crate::job::Job;
 
 impl Gateway {
-    /// Halls that are drained.
+    /// The drained halls.
     pub fn drained_halls(&self) -> Vec<Name> {
         lock(&self.upstreams).drained_halls()
     }
 
-    /// Sends nothing more to the upstreams of a hall.
+    /// Drains a hall: no more requests are sent to its upstreams.
     pub fn drain_hall(&self, hall: Name) {
         if lock(&self.upstreams).drain_hall(hall.clone()) {
             self.log.line("hall_drained", json!({"hall": hall}));
         }
     }
 
-    /// Sends to the upstreams of a hall again, as to cold ones.
+    /// Ends the drain of a hall. Its upstreams are treated as cold at first.
     pub fn undrain_hall(&self, hall: &Name) {
         let now_ms = self.clock.now_ms();
         let site = self.site();
@@ -40,24 +40,30 @@
         }
     }
 
-    /// Works on what is known of a pool's pace.
-    pub fn with_pace<T>(&self, pool: &Name, work: impl FnOnce(&mut PrefillPace) -> T) -> T {
-        work(lock(&self.paces).entry(pool.clone()).or_default())
+    /// Calls `work` with the prefill pace of a pool.
+    pub fn with_prefill_pace<T>(&self, pool: &Name, work: impl FnOnce(&mut PrefillPace) -> T) -> T {
+        work(lock(&self.prefill_paces).entry(pool.clone()).or_default())
     }
 
-    /// What a job takes of an upstream with the model in this place, by the pool's pace.
+    /// Estimates the work of a job on an upstream with the model at index `model` of the route, from the pool's prefill
+    /// pace.
     pub fn estimate(&self, job: &Job, model: usize) -> Estimate {
         let models = job.route.models.len();
-        let ms_per_token = self.with_pace(&job.pool, |pace| pace.ms_per_token(model, models));
+        let ms_per_token =
+            self.with_prefill_pace(&job.pool, |pace| pace.ms_per_token(model, models));
         job.estimate(ms_per_token)
     }
 
-    /// Chooses an upstream.
+    /// Chooses an upstream for a request.
     ///
     /// # Errors
     ///
-    /// When none may take the request now.
-    pub fn choose(&self, scope: &Scope, ask: &PlacementRequest) -> Result<Choice, ChooseError> {
+    /// If no upstream may receive the request now.
+    pub fn choose_upstream(
+        &self,
+        scope: &Scope,
+        ask: &PlacementRequest,
+    ) -> Result<Choice, ChooseError> {
         let now_ms = self.clock.now_ms();
         let rules = self.send_rules(scope.pool, now_ms);
         let mut upstreams = lock(&self.upstreams);
@@ -65,11 +71,11 @@
         upstreams.choose(scope, ask, target.as_ref(), &rules, now_ms)
     }
 
-    /// Counts a request that is sent to an upstream now, if it may be.
+    /// Checks whether a request may be sent to an upstream now and, if so, counts it.
     ///
     /// # Errors
     ///
-    /// When what has become known of the request, or of the upstream since it was chosen, forbids it.
+    /// If the request is quarantined, or a change since the upstream was chosen forbids the send.
     pub fn begin_send(
         &self,
         upstream: &UpstreamRecord,
@@ -83,7 +89,7 @@
         lock(&self.upstreams).begin_send(&upstream.id, &rules, now_ms)
     }
 
-    /// What binds sends to the upstreams of a pool now.
+    /// The rules for sends to the upstreams of a pool at this time.
     fn send_rules(&self, pool: &Name, now_ms: u64) -> SendRules {
         let site = self.site();
         let cold_start = site.and_then(|site| site.pool(pool)?.cold_start);
--- a/crates/ivyweir-gateway/src/state/quarantine.rs
+++ b/crates/ivyweir-gateway/src/state/quarantine.rs
@@ -1,4 +1,5 @@
-//! Which requests are at which upstream, which were there when it ended, and which are sent no more.
+//! Tracks which requests run on which upstream and which were running when it terminated, and quarantines requests
+//! that repeatedly terminate upstreams.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -19,21 +20,21 @@
 use super::{Gateway, lock};
 use crate::clock::epoch_ms;
 
-/// Requests named in the line about an upstream that ended: as many as most engines run at once.
-const NAMED_IN_LOG: usize = 64;
+/// Maximum number of requests listed in the log event for a terminated upstream; most engines run no more at once.
+const MAX_LOGGED_FINGERPRINTS: usize = 64;
 
-/// Longest wait of a request for the look at the upstream that it was at: three times the way to the farthest hall
-/// and back. Where upstreams are silent it goes on without.
-const LOOK_WAIT: Duration = Duration::from_millis(50);
+/// Maximum time that a request waits for the check whether its upstream terminated: three round trips to the farthest
+/// hall. If the upstream does not respond, the request continues without the result.
+const TERMINATION_CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What a box knows of requests under which upstreams end.
+/// State for the quarantine of requests during which upstreams terminate.
 #[derive(Debug)]
 pub struct Quarantine {
     runs: RunRegistry,
     ledger: Ledger,
     exchange: LedgerSync,
-    /// Upstreams of which is being found out whether they ended.
-    looked_at: HashSet<Name>,
+    /// Upstreams with a check in progress whether they terminated.
+    checking: HashSet<Name>,
 }
 
 impl Default for Quarantine {
@@ -41,39 +42,39 @@
         Self {
             runs: RunRegistry::default(),
             ledger: Ledger::default(),
-            // Other boxes tell a box that starts anew by it.
+            // The random id lets other boxes detect that this box restarted.
             exchange: LedgerSync::new(u64::from(rand::random::<u32>())),
-            looked_at: HashSet::new(),
+            checking: HashSet::new(),
         }
     }
 }
 
-/// What became of upstreams under a request since it last had a whole answer.
+/// What happened to upstreams running a request since its last complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Suspicion {
-    /// Nothing.
+    /// No connection broke and no upstream terminated.
     None,
-    /// A connection broke; whether the upstream ended is not known.
+    /// A connection broke; it is not known whether the upstream terminated.
     ConnectionBroke,
-    /// An upstream ended.
+    /// An upstream terminated.
     UpstreamEnded,
 }
 
-/// Watches one upstream for as long as a request is there. It looks at the upstreams only once something was replaced:
-/// a stream waits with it for each of its events.
-pub struct ReplacedWatch {
+/// Watches for the replacement of an upstream while a request runs on it. After the first check it reads the fleet
+/// only when some incarnation was replaced, because a stream waits on it for each event.
+pub struct ReplacementWatch {
     upstream: Name,
-    news: watch::Receiver<u64>,
-    is_first: bool,
+    replacements: watch::Receiver<u64>,
+    is_first_check: bool,
 }
 
-impl ReplacedWatch {
-    /// Waits until another incarnation has taken the upstream's place.
+impl ReplacementWatch {
+    /// Waits until another incarnation has replaced the upstream.
     pub async fn replaced(&mut self, gateway: &Gateway) {
         loop {
-            if !std::mem::take(&mut self.is_first) {
-                // The sender lives as long as the box's state.
-                let _changed = self.news.changed().await;
+            if !std::mem::take(&mut self.is_first_check) {
+                // The sender is never dropped before the `Gateway`.
+                let _changed = self.replacements.changed().await;
             }
             if lock(&gateway.upstreams).fleet().is_replaced(&self.upstream) {
                 return;
@@ -83,76 +84,76 @@
 }
 
 impl Gateway {
-    /// Takes in that a request is sent to an upstream.
-    pub fn run_began(&self, upstream: &Name, key: RunKey) {
+    /// Records that a request starts to run on an upstream.
+    pub fn record_run_start(&self, upstream: &Name, key: RunKey) {
         let now_ms = self.clock.now_ms();
         let mut quarantine = lock(&self.quarantine);
         quarantine.runs.begin(upstream, key, now_ms);
     }
 
-    /// Takes in that it has left there.
-    pub fn run_left(&self, upstream: &Name, key: RunKey, how: RunEnd) {
+    /// Records that a request no longer runs on an upstream.
+    pub fn record_run_end(&self, upstream: &Name, key: RunKey, end: RunEnd) {
         let now_ms = self.clock.now_ms();
         let mut quarantine = lock(&self.quarantine);
-        quarantine.runs.end(upstream, key, how, now_ms);
+        quarantine.runs.end(upstream, key, end, now_ms);
     }
 
-    /// Takes in that a request had its whole answer.
-    pub fn run_completed(&self, fingerprint: Fingerprint) {
+    /// Records that a request received a complete answer.
+    pub fn record_run_completion(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
-        let verdicts = {
+        let changes = {
             let mut quarantine = lock(&self.quarantine);
             quarantine.runs.record_completion(fingerprint, now_ms);
             quarantine
                 .ledger
                 .completed(fingerprint, now_ms.cast_signed())
         };
-        self.take_verdicts(verdicts);
+        self.report_quarantine_changes(changes);
     }
 
-    /// Whether a request is sent no more.
+    /// Whether a request is quarantined.
     pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
         lock(&self.quarantine).ledger.is_quarantined(fingerprint)
     }
 
-    /// Requests that are sent no more.
+    /// The quarantined requests.
     pub fn quarantined(&self) -> HashSet<Fingerprint> {
         lock(&self.quarantine).ledger.quarantined().collect()
     }
 
-    /// A request's quarantine as the store is to keep it.
+    /// Record of a request's quarantine for the store.
     pub fn quarantine_record(&self, fingerprint: Fingerprint) -> Option<QuarantineRecord> {
         let now_ms = self.ledger_now_ms();
         let ledger = &lock(&self.quarantine).ledger;
         ledger.record(fingerprint, now_ms, epoch_ms())
     }
 
-    /// Takes in the quarantines that the store kept.
+    /// Restores quarantines from records of the store.
     pub fn restore_quarantines(&self, records: &[QuarantineRecord]) {
         let now_ms = self.ledger_now_ms();
         let ledger = &mut lock(&self.quarantine).ledger;
-        let verdicts = ledger.restore(records, now_ms, epoch_ms());
-        self.take_verdicts(verdicts);
+        let changes = ledger.restore(records, now_ms, epoch_ms());
+        self.report_quarantine_changes(changes);
     }
 
-    /// Takes in that operators lifted quarantines.
+    /// Lifts quarantines whose records an operator removed.
     pub fn lift_quarantines(&self, fingerprints: Vec<Fingerprint>) {
         let now_ms = self.ledger_now_ms();
         for fingerprint in fingerprints {
-            let verdicts = lock(&self.quarantine).ledger.lift(fingerprint, now_ms);
-            self.take_verdicts(verdicts);
+            let changes = lock(&self.quarantine).ledger.lift(fingerprint, now_ms);
+            self.report_quarantine_changes(changes);
         }
     }
 
-    /// Takes in that a request's connection broke; whether its upstream ended is found out.
-    pub fn run_broke(&self, fingerprint: Fingerprint) {
+    /// Records that the connection of a request broke. A separate check determines whether its upstream terminated.
+    pub fn record_broken_connection(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
         lock(&self.quarantine)
             .runs
             .record_broken_connection(fingerprint, now_ms);
     }
 
-    /// What became of upstreams under a request since it last had a whole answer.
+    /// What happened to upstreams running this request since its last complete answer.
     pub fn suspicion(&self, fingerprint: Fingerprint) -> Suspicion {
         let quarantine = lock(&self.quarantine);
         if quarantine.ledger.is_suspect(fingerprint) {
@@ -164,99 +165,99 @@
         }
     }
 
-    /// Begins to find out whether an upstream ended; returns whether nobody is at it yet.
-    pub fn begin_look(&self, upstream: &Name) -> bool {
-        lock(&self.quarantine).looked_at.insert(upstream.clone())
+    /// Starts a check whether an upstream terminated; returns `false` if one is already in progress.
+    pub fn begin_termination_check(&self, upstream: &Name) -> bool {
+        lock(&self.quarantine).checking.insert(upstream.clone())
     }
 
-    /// Takes in that it was found out.
-    pub fn end_look(&self, upstream: &Name) {
-        lock(&self.quarantine).looked_at.remove(upstream);
-        self.looks.send_modify(|count| *count += 1);
+    /// Finishes the check whether an upstream terminated.
+    pub fn finish_termination_check(&self, upstream: &Name) {
+        lock(&self.quarantine).checking.remove(upstream);
+        self.termination_checks.send_modify(|count| *count += 1);
     }
 
-    /// Waits until it is found out whether an upstream ended, for a moment: the request whose connection broke goes on
-    /// apart from others if it did, and by load if it did not.
-    pub async fn until_looked(&self, upstream: &Name) {
-        let mut looks = self.looks.subscribe();
-        let found_out = async {
-            while lock(&self.quarantine).looked_at.contains(upstream) {
-                // The sender lives as long as the box's state.
-                let _changed = looks.changed().await;
+    /// Waits for a check in progress whether an upstream terminated, for a limited time. If it did, the request whose
+    /// connection broke is placed apart from the others that ran there; if not, it is placed by load.
+    pub async fn wait_for_termination_check(&self, upstream: &Name) {
+        let mut checks = self.termination_checks.subscribe();
+        let finished = async {
+            while lock(&self.quarantine).checking.contains(upstream) {
+                // The sender is never dropped before the `Gateway`.
+                let _changed = checks.changed().await;
             }
         };
-        let _in_time = timeout(LOOK_WAIT, found_out).await;
+        let _in_time = timeout(TERMINATION_CHECK_TIMEOUT, finished).await;
     }
 
-    /// Takes in that nobody listens at an upstream's address any more: its process has ended.
-    pub fn upstream_ended(&self, upstream: &UpstreamRecord) {
-        let is_planned = self.is_end_planned(upstream);
-        self.note_end(upstream, is_planned);
+    /// Records that an upstream's process terminated, as its address refuses connections.
+    pub fn record_upstream_termination(&self, upstream: &UpstreamRecord) {
+        let is_planned = self.is_termination_planned(upstream);
+        self.record_termination(upstream, is_planned);
     }
 
-    /// Takes in that other incarnations have taken the places of these: they ended unseen, at once or behind a
-    /// cut, and what was sent to them has no answer.
-    pub(super) fn upstreams_replaced(&self, replaced: &[Arc<UpstreamRecord>]) {
+    /// Records that these upstreams were replaced by other incarnations. They terminated undetected, because they were
+    /// replaced immediately or were unreachable, and requests sent to them will not be answered.
+    pub(super) fn record_replacements(&self, replaced: &[Arc<UpstreamRecord>]) {
         for upstream in replaced {
             let detail = json!({"upstream": upstream.id, "change": "Replaced"});
             self.log.line("upstream_changed", detail);
-            self.note_end(upstream, self.is_version_replaced(upstream));
+            self.record_termination(upstream, self.is_version_replaced(upstream));
         }
         if !replaced.is_empty() {
             self.replacements.send_modify(|count| *count += 1);
         }
     }
 
-    /// Watches whether another incarnation takes an upstream's place.
-    pub fn watch_replaced(&self, upstream: &Name) -> ReplacedWatch {
-        ReplacedWatch {
+    /// Returns a watch for the replacement of an upstream by another incarnation.
+    pub fn watch_replacement(&self, upstream: &Name) -> ReplacementWatch {
+        ReplacementWatch {
             upstream: upstream.clone(),
-            news: self.replacements.subscribe(),
-            is_first: true,
+            replacements: self.replacements.subscribe(),
+            is_first_check: true,
         }
     }
 
-    fn note_end(&self, upstream: &UpstreamRecord, is_planned: bool) {
+    fn record_termination(&self, upstream: &UpstreamRecord, is_planned: bool) {
         let now_ms = self.clock.now_ms();
-        let there = lock(&self.quarantine)
+        let interrupted = lock(&self.quarantine)
             .runs
             .upstream_ended(&upstream.id, now_ms);
-        if there.is_empty() {
+        if interrupted.is_empty() {
             return;
         }
         let ends = &self.metrics.upstream_ends;
         ends.with_label_values(&[&*upstream.pool]).inc();
-        let named = there.iter().take(NAMED_IN_LOG);
-        let named: Vec<String> = named.map(|left| left.key.fingerprint.to_string()).collect();
+        let logged = interrupted.iter().take(MAX_LOGGED_FINGERPRINTS);
+        let fingerprints: Vec<String> = logged.map(|run| run.key.fingerprint.to_string()).collect();
         let detail = json!({
-            "upstream": upstream.id, "pool": upstream.pool, "requests": there.len(),
-            "fingerprints": named, "planned": is_planned,
+            "upstream": upstream.id, "pool": upstream.pool, "requests": interrupted.len(),
+            "fingerprints": fingerprints, "planned": is_planned,
         });
         self.log.line("upstream_ended", detail);
         if !is_planned {
-            self.lay_end(upstream, &there);
+            self.add_termination_to_ledger(upstream, &interrupted);
         }
     }
 
-    fn lay_end(&self, upstream: &UpstreamRecord, there: &[InterruptedRun]) {
+    fn add_termination_to_ledger(&self, upstream: &UpstreamRecord, interrupted: &[InterruptedRun]) {
         let upstream = hash64(&[upstream.id.as_bytes()]);
-        let witness = |left: &InterruptedRun| EndObservation {
-            fingerprint: left.key.fingerprint,
+        let observation = |run: &InterruptedRun| EndObservation {
+            fingerprint: run.key.fingerprint,
             end: UpstreamEnd {
                 upstream,
-                try_hash: left.key.try_hash,
-                began_at_ms: left.began_at_ms.cast_signed(),
-                at_ms: left.at_ms.cast_signed(),
+                try_hash: run.key.try_hash,
+                began_at_ms: run.began_at_ms.cast_signed(),
+                at_ms: run.at_ms.cast_signed(),
             },
-            completed_at_ms: left.completed_at_ms.map(u64::cast_signed),
+            completed_at_ms: run.completed_at_ms.map(u64::cast_signed),
         };
-        let there: Vec<EndObservation> = there.iter().map(witness).collect();
-        let verdicts = lock(&self.quarantine).ledger.upstream_ended(&there);
-        self.take_verdicts(verdicts);
+        let observations: Vec<EndObservation> = interrupted.iter().map(observation).collect();
+        let changes = lock(&self.quarantine).ledger.upstream_ended(&observations);
+        self.report_quarantine_changes(changes);
     }
 
-    /// Whether an upstream was to end: it had announced that it leaves, or its version was replaced.
-    fn is_end_planned(&self, upstream: &UpstreamRecord) -> bool {
+    /// Whether the termination of an upstream was expected: it announced its departure, or its version was replaced.
+    fn is_termination_planned(&self, upstream: &UpstreamRecord) -> bool {
         let is_known = lock(&self.upstreams).fleet().member(&upstream.id).is_some();
         !is_known || self.is_version_replaced(upstream)
     }
@@ -268,8 +269,8 @@
         })
     }
 
-    /// What a box is to be told of requests under which upstreams ended.
-    pub fn ledger_news_for(&self, peer: &Name) -> Option<LedgerUpdate> {
+    /// Update for another box on requests during which upstreams terminated.
+    pub fn ledger_update_for(&self, peer: &Name) -> Option<LedgerUpdate> {
         let now_ms = self.ledger_now_ms();
         let Quarantine {
             ledger, exchange, ..
@@ -277,44 +278,44 @@
         exchange.update_for(peer, ledger, now_ms)
     }
 
-    /// Takes in what a box told of them.
-    pub fn hear_ledger(&self, peer: &Name, news: LedgerUpdate) {
+    /// Applies an update of another box on requests during which upstreams terminated.
+    pub fn apply_ledger_update(&self, peer: &Name, update: LedgerUpdate) {
         let now_ms = self.ledger_now_ms();
-        let verdicts = {
+        let changes = {
             let Quarantine {
                 ledger, exchange, ..
             } = &mut *lock(&self.quarantine);
-            exchange.receive(peer, news, ledger, now_ms)
+            exchange.receive(peer, update, ledger, now_ms)
         };
-        self.take_verdicts(verdicts);
+        self.report_quarantine_changes(changes);
     }
 
-    /// Forgets what is long past.
+    /// Removes expired runs and ledger entries.
     pub(super) fn sweep_quarantine(&self) {
         let now_ms = self.clock.now_ms();
-        let verdicts = {
+        let changes = {
             let mut quarantine = lock(&self.quarantine);
             quarantine.runs.sweep(now_ms);
             quarantine.ledger.sweep(now_ms.cast_signed())
         };
-        self.take_verdicts(verdicts);
+        self.report_quarantine_changes(changes);
     }
 
-    fn take_verdicts(&self, verdicts: QuarantineChanges) {
-        if !verdicts.quarantined.is_empty() {
-            self.urgent.notify_one();
+    fn report_quarantine_changes(&self, changes: QuarantineChanges) {
+        if !changes.quarantined.is_empty() {
+            self.urgent_update.notify_one();
         }
-        for (fingerprint, ends) in verdicts.quarantined {
+        for (fingerprint, ends) in changes.quarantined {
             let detail = json!({"fingerprint": fingerprint.to_string(), "upstream_ends": ends});
             self.log.line("quarantined", detail);
         }
-        for fingerprint in verdicts.released {
+        for fingerprint in changes.released {
             let detail = json!({"fingerprint": fingerprint.to_string()});
             self.log.line("quarantine_ended", detail);
         }
     }
 
-    /// Times of the ledger may lie before this box's start.
+    /// The current time, signed because times in the ledger may be earlier than the start of this box.
     fn ledger_now_ms(&self) -> i64 {
         self.clock.now_ms().cast_signed()
     }
--- a/crates/ivyweir-gateway/src/state/waiting.rs
+++ b/crates/ivyweir-gateway/src/state/queues.rs
@@ -1,4 +1,4 @@
-//! Requests that wait until an upstream takes one again.
+//! Queues of requests that wait until an upstream accepts requests again.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,10 +12,11 @@
 use super::{Gateway, lock};
 use crate::job::Job;
 
-/// Between two that wait for the same upstreams, so that the first one is sent first: longer than it takes to choose.
+/// Delay between queued requests of the same pool, so that they are sent in order. It is longer than choosing an
+/// upstream takes.
 const STAGGER_MS: u64 = 1;
 
-/// A request in its pool's queue; it leaves when this is dropped, also because its caller left.
+/// A request in the queue of its pool. Dropping it removes the request, also if the caller has disconnected.
 pub struct Waiter {
     gateway: Arc<Gateway>,
     pool: Name,
@@ -23,14 +24,14 @@
 }
 
 impl Waiter {
-    /// Waits until the first upstream takes a request again, in order of the queue.
+    /// Waits for `for_ms`, when the first upstream accepts requests again, plus a delay for each request ahead.
     pub async fn wait(&self, for_ms: u64) {
         let ahead = self.with_queue(|queue| queue.ahead_of(self.ticket));
         let wait_ms = for_ms + u64::from(ahead) * STAGGER_MS;
         sleep(Duration::from_millis(wait_ms)).await;
     }
 
-    /// Requests that wait before it.
+    /// Number of requests queued before this one.
     pub fn ahead(&self) -> u32 {
         self.with_queue(|queue| queue.ahead_of(self.ticket))
     }
@@ -56,11 +57,11 @@
     }
 }
 
-/// Requests that wait, by pool.
+/// Queues of waiting requests, by pool.
 pub type Queues = HashMap<Name, Queue>;
 
 impl Gateway {
-    /// Adds a request to its pool's queue.
+    /// Adds a request to the queue of its pool.
     pub fn join_queue(self: &Arc<Self>, job: &Job) -> Waiter {
         let mut queues = lock(&self.queues);
         let queue = queues.entry(job.pool.clone()).or_default();
@@ -71,38 +72,33 @@
         }
     }
 
-    /// Whether a request waits for upstreams that want nothing for `for_ms`, behind `ahead` others; none where it is
-    /// new.
-    pub fn is_worth_waiting(
-        &self,
-        job: &Job,
-        for_ms: u64,
-        read_ms: f64,
-        ahead: Option<u32>,
-    ) -> bool {
+    /// Whether a request should wait for upstreams that accept no request for `for_ms`. `ahead` is the number of
+    /// requests queued before it, or `None` if it is not in the queue yet.
+    pub fn should_wait(&self, job: &Job, for_ms: u64, prefill_ms: f64, ahead: Option<u32>) -> bool {
         let now_ms = self.clock.now_ms();
         let ahead = ahead.unwrap_or_else(|| {
             let queues = lock(&self.queues);
             let queue = queues.get(&job.pool);
             queue.map_or(0, |queue| queue.ahead_of_new(job.rank(), job.arrived_ms))
         });
-        let held = BlockedRequest {
+        let blocked = BlockedRequest {
             for_ms,
             to_target_ms: (job.arrived_ms + job.route.latency_aim_ms).saturating_sub(now_ms),
             to_deadline_ms: job.deadline_ms.saturating_sub(now_ms),
-            prefill_ms: read_ms as u64,
+            prefill_ms: prefill_ms as u64,
             ahead,
         };
-        held.should_wait(|within_ms| self.places_within(job, now_ms + within_ms))
+        blocked.should_wait(|within_ms| self.capacity_by(job, now_ms + within_ms))
     }
 
-    /// Whether an upstream takes a request of this box until then, where the first one may do so after `for_ms`.
-    pub fn takes_one_by(&self, job: &Job, for_ms: u64, until_ms: u64) -> bool {
-        self.clock.now_ms() + for_ms < until_ms && self.places_within(job, until_ms) > 0
+    /// Whether an upstream accepts a request of this box before `until_ms`, if the first upstream accepts requests
+    /// again after `for_ms`.
+    pub fn has_capacity_by(&self, job: &Job, for_ms: u64, until_ms: u64) -> bool {
+        self.clock.now_ms() + for_ms < until_ms && self.capacity_by(job, until_ms) > 0
     }
 
-    /// Requests that upstreams take of this box until then.
-    fn places_within(&self, job: &Job, until_ms: u64) -> u32 {
+    /// Number of requests that the upstreams accept from this box up to `until_ms`.
+    fn capacity_by(&self, job: &Job, until_ms: u64) -> u32 {
         let scope = Scope {
             pool: &job.pool,
             side: job.side,
--- a/crates/ivyweir-gateway/src/state/repeats.rs
+++ b/crates/ivyweir-gateway/src/state/retries.rs
@@ -1,4 +1,4 @@
-//! How often requests may be sent again, by this box's counts and those of the fleet.
+//! Retry budgets, from this box's counts and those of the fleet.
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::peer_report::PoolRetryCounts;
@@ -7,34 +7,34 @@
 use super::{Gateway, lock};
 
 impl Gateway {
-    /// Counts a request against which repeats are weighed.
+    /// Counts a request towards the retry budget of its pool.
     pub fn count_request(&self, pool: &Name) {
-        let limits = self.repeat_limits();
-        let mut budgets = lock(&self.budgets);
+        let limits = self.retry_limits();
+        let mut budgets = lock(&self.retry_budgets);
         let budget = budgets.entry(pool.clone()).or_default();
         budget.count_request(&limits, self.clock.now_ms());
     }
 
-    /// Takes a repeat out of the pool's budget, if there is one.
-    pub fn take_repeat(&self, pool: &Name) -> bool {
-        let limits = self.repeat_limits();
-        let fleet = lock(&self.fleet_repeats).get(pool).copied();
-        let mut budgets = lock(&self.budgets);
+    /// Takes a retry from the budget of a pool; returns whether one was available.
+    pub fn try_take_retry(&self, pool: &Name) -> bool {
+        let limits = self.retry_limits();
+        let fleet = lock(&self.fleet_retry_counts).get(pool).copied();
+        let mut budgets = lock(&self.retry_budgets);
         let budget = budgets.entry(pool.clone()).or_default();
         budget.try_take(&limits, fleet.as_ref(), self.clock.now_ms())
     }
 
-    /// This box's part of the bounds on repeats, by the number of boxes known.
-    fn repeat_limits(&self) -> RetryLimits {
+    /// This box's share of the bounds on retries, from the number of known boxes.
+    fn retry_limits(&self) -> RetryLimits {
         let boxes = self.peers.fleet_size();
         self.settings.bounds.repeat_limits(boxes)
     }
 
-    /// This box's own requests and repeats of the last seconds.
-    pub(super) fn own_repeats(&self) -> PoolRetryCounts {
-        let limits = self.repeat_limits();
+    /// Requests and retries of this box in the last window.
+    pub(super) fn local_retry_counts(&self) -> PoolRetryCounts {
+        let limits = self.retry_limits();
         let now_ms = self.clock.now_ms();
-        let mut budgets = lock(&self.budgets);
+        let mut budgets = lock(&self.retry_budgets);
         let counts = budgets.iter_mut();
         let counts = counts.map(|(pool, budget)| (pool.clone(), budget.counts(&limits, now_ms)));
         counts
@@ -42,10 +42,10 @@
             .collect()
     }
 
-    /// Takes in what all boxes counted.
-    pub(super) fn take_fleet_repeats(&self, repeats: PoolRetryCounts) {
+    /// Replaces the retry counts of all boxes.
+    pub(super) fn set_fleet_retry_counts(&self, counts: PoolRetryCounts) {
         let received_at_ms = self.clock.now_ms();
-        let fleet = repeats.into_iter();
+        let fleet = counts.into_iter();
         let fleet = fleet.map(|(pool, counts)| {
             (
                 pool,
@@ -55,6 +55,6 @@
                 },
             )
         });
-        *lock(&self.fleet_repeats) = fleet.collect();
+        *lock(&self.fleet_retry_counts) = fleet.collect();
     }
 }
--- a/crates/ivyweir-gateway/src/state/rollouts.rs
+++ b/crates/ivyweir-gateway/src/state/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs under way, and what is known of the versions that they bring.
+//! Roll-outs in progress, and the tallies of the versions that they introduce.
 
 use std::collections::HashMap;
 
@@ -11,15 +11,15 @@
 use super::{Gateway, lock};
 
 impl Gateway {
-    /// The side of a roll-out that serves a request; none where none is under way.
-    pub fn side(&self, pool: &Name, session: Option<u64>, seed: u64) -> Option<Side> {
+    /// The side of the roll-out that serves a request; `None` if no roll-out of the pool is in progress.
+    pub fn rollout_side(&self, pool: &Name, session: Option<u64>, seed: u64) -> Option<Side> {
         let now_ms = self.clock.now_ms();
         let rollouts = lock(&self.rollouts);
-        let track = rollouts.get(pool).filter(|track| !track.is_over())?;
-        Some(track.side(session.unwrap_or(seed), now_ms))
+        let tracker = rollouts.get(pool).filter(|tracker| !tracker.is_over())?;
+        Some(tracker.side(session.unwrap_or(seed), now_ms))
     }
 
-    /// Works on the roll-outs.
+    /// Calls `work` with the tracked roll-outs and the current time.
     pub fn with_rollouts<T>(
         &self,
         work: impl FnOnce(&mut HashMap<Name, RolloutTracker>, u64) -> T,
@@ -27,53 +27,53 @@
         work(&mut lock(&self.rollouts), self.clock.now_ms())
     }
 
-    /// Takes in a pool's version that serves what no roll-out moves.
-    pub fn settle(&self, pool: &Name, version: &Name) {
+    /// Sets the version of a pool that serves requests outside a roll-out.
+    pub fn set_default_version(&self, pool: &Name, version: &Name) {
         lock(&self.upstreams).set_default_version(pool, version);
     }
 
     pub(super) fn rollout_target(&self, pool: &Name) -> Option<RolloutTarget> {
         let rollouts = lock(&self.rollouts);
-        let track = rollouts.get(pool)?;
-        let order = track.order();
+        let tracker = rollouts.get(pool)?;
+        let order = tracker.order();
         Some(RolloutTarget {
             version: order.target_version.clone(),
             state: order.state,
-            share: track.share(self.clock.now_ms()),
+            share: tracker.share(self.clock.now_ms()),
         })
     }
 
-    /// This box's counts of answers, by the pool whose roll-out is under way.
-    pub(super) fn own_tallies(&self) -> HashMap<Name, Tally> {
+    /// Tallies of this box, by pool, for pools with a roll-out in progress.
+    pub(super) fn local_tallies(&self) -> HashMap<Name, Tally> {
         self.with_rollouts(|rollouts, _| {
-            let under_way = rollouts.iter().filter(|(_, track)| !track.is_over());
-            let tallies = under_way.map(|(pool, track)| (pool.clone(), track.local_tally()));
+            let in_progress = rollouts.iter().filter(|(_, tracker)| !tracker.is_over());
+            let tallies = in_progress.map(|(pool, tracker)| (pool.clone(), tracker.local_tally()));
             tallies.collect()
         })
     }
 
-    /// Takes in other boxes' counts of a pool's answers.
-    pub(super) fn hear_tally(&self, pool: &Name, tally: Tally) {
+    /// Replaces the tally of the other boxes for a pool.
+    pub(super) fn set_remote_tally(&self, pool: &Name, tally: Tally) {
         let condemned = self.with_rollouts(|rollouts, now_ms| {
-            let track = rollouts.get_mut(pool)?;
-            track
+            let tracker = rollouts.get_mut(pool)?;
+            tracker
                 .set_remote_tally(tally, now_ms)
-                .then(|| track.total_tally())
+                .then(|| tracker.total_tally())
         });
         if let Some(sum) = condemned {
             self.log_condemned(pool, &sum);
         }
     }
 
-    /// Writes down why a version was condemned.
+    /// Logs the tally for which a version was condemned.
     pub fn log_condemned(&self, pool: &Name, sum: &Tally) {
-        let detail = json!({"pool": pool, "bad_of_all": counts_of(sum)});
+        let detail = json!({"pool": pool, "bad_of_all": tally_json(sum)});
         self.log.line("version_condemned", detail);
     }
 }
 
-/// Counts of a roll-out's answers, for the log.
-pub fn counts_of(sum: &Tally) -> Value {
+/// Formats a tally for the log.
+pub fn tally_json(sum: &Tally) -> Value {
     let rows = sum.iter().map(|(group, c)| {
         json!({
             "fault": group.criterion, "lane": group.lane,
--- a/crates/ivyweir-gateway/src/state/supply.rs
+++ b/crates/ivyweir-gateway/src/state/scaling.rs
@@ -1,4 +1,4 @@
-//! What orders of upstreams are planned by.
+//! Inputs for planning orders of upstreams.
 
 use std::collections::HashMap;
 
@@ -8,20 +8,20 @@
 use super::{Gateway, lock};
 
 impl Gateway {
-    /// Requests under way over all boxes, by pool; none where some hall was not heard lately.
-    pub fn fleet_running(&self) -> Option<HashMap<Name, f64>> {
+    /// Requests in progress on all boxes, by pool; `None` if there is no recent report from some hall.
+    pub fn fleet_running_requests(&self) -> Option<HashMap<Name, f64>> {
         let now_ms = self.clock.now_ms();
         if !self.peers.hears_all_halls(now_ms) {
             return None;
         }
-        let mut word = self.peers.words_except(|_| false, now_ms);
-        word.add(&self.own_word());
-        let running = word.running.into_iter();
+        let mut report = self.peers.words_except(|_| false, now_ms);
+        report.add(&self.local_report());
+        let running = report.running.into_iter();
         let running = running.map(|(pool, count)| (pool, f64::from(count)));
         Some(running.collect())
     }
 
-    /// A pool as the holder of duties sees it.
+    /// State of a pool for planning its upstreams.
     pub fn pool_view<'a>(
         &self,
         pool: &'a Name,
@@ -31,13 +31,13 @@
         orders: &'a [UpstreamOrder],
     ) -> PoolView<'a> {
         let now_ms = self.clock.now_ms();
-        let (supply, slots) = lock(&self.upstreams).supply(pool, now_ms);
+        let (capacity, slots) = lock(&self.upstreams).supply(pool, now_ms);
         PoolView {
             pool,
             scaling,
             drained_halls,
             is_rolling_out: self.is_rolling_out(pool),
-            capacity: supply,
+            capacity,
             slots,
             running,
             orders,
@@ -46,8 +46,8 @@
 
     fn is_rolling_out(&self, pool: &Name) -> bool {
         self.with_rollouts(|rollouts, _| {
-            let track = rollouts.get(pool);
-            track.is_some_and(|track| !track.is_over())
+            let tracker = rollouts.get(pool);
+            tracker.is_some_and(|tracker| !tracker.is_over())
         })
     }
 }
--- a/crates/ivyweir-gateway/src/state/statements.rs
+++ b/crates/ivyweir-gateway/src/state/statements.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves, taken in and told on.
+//! Statements of upstreams about themselves: their application, and their propagation to other boxes.
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::FleetChange;
@@ -9,28 +9,29 @@
 use super::{Gateway, lock};
 
 impl Gateway {
-    /// Takes in what an upstream says of itself in an answer.
-    pub fn hear(&self, id: &Name, statement: &Statement) {
+    /// Applies a statement of an upstream, received in an answer or through another box.
+    pub fn apply_statement(&self, id: &Name, statement: &Statement) {
         let now_ms = self.clock.now_ms();
         let max_backoff_ms = self.settings.policy.max_backoff_ms;
-        let heard = lock(&self.upstreams).apply_statement(id, statement, max_backoff_ms, now_ms);
-        if heard.fleet != FleetChange::Nothing {
-            self.log_change(id, heard.fleet, statement.source);
+        let applied = lock(&self.upstreams).apply_statement(id, statement, max_backoff_ms, now_ms);
+        if applied.fleet != FleetChange::Nothing {
+            self.log_change(id, applied.fleet, statement.source);
         }
-        if let Some(change) = heard.limit {
+        if let Some(change) = applied.limit {
             self.log_limit(id, change, statement.source);
         }
-        // Limits that move, or end, are told with the next round: they may move with each answer.
-        let begins = matches!(heard.limit, Some(LimitChange::Started(_)));
-        let is_news = heard.fleet != FleetChange::Nothing || begins;
-        if is_news && self.passes_on(statement.source) {
-            self.urgent.notify_one();
+        // A changed or ended limit is sent with the next periodic report, because limits may change with every answer.
+        let is_new_limit = matches!(applied.limit, Some(LimitChange::Started(_)));
+        let is_urgent = applied.fleet != FleetChange::Nothing || is_new_limit;
+        if is_urgent && self.forwards_immediately(statement.source) {
+            self.urgent_update.notify_one();
         }
     }
 
     fn log_limit(&self, id: &Name, change: LimitChange, source: Source) {
         let per_s = match change {
-            // A limit that moves is told by each box that the upstream itself told: as many lines as answers.
+            // Each box that receives a changed limit from the upstream itself logs it; logging it here too would add
+            // as many lines as there are answers.
             LimitChange::Changed(_) if source == Source::Peer => return,
             LimitChange::Started(per_1000_s) | LimitChange::Changed(per_1000_s) => {
                 DeclaredLimit::Per1000S(per_1000_s).requests_per_s()
@@ -41,9 +42,10 @@
         self.log.line("limit_changed", detail);
     }
 
-    /// Whether what was heard there is told on at once: what is heard first hand, and by a relay, whom others hear. 75
-    /// boxes of a hall that each told their relay what they have from it would be 75 messages for each departure.
-    fn passes_on(&self, source: Source) -> bool {
+    /// Whether a statement from this source is forwarded immediately: one received from the upstream itself, and on a
+    /// relay also one from another box. If the 75 boxes of a hall returned to their relay what it sent them, each
+    /// departure would cause 75 messages.
+    fn forwards_immediately(&self, source: Source) -> bool {
         let now_ms = self.clock.now_ms();
         match source {
             Source::Answer => true,
@@ -52,42 +54,43 @@
         }
     }
 
-    /// Takes in that other boxes heard these upstreams to leave.
-    pub fn hear_departures(&self, ids: &[Name]) {
+    /// Applies departures of upstreams that other boxes reported.
+    pub fn apply_departures(&self, ids: &[Name]) {
         let statement = Statement {
             is_leaving: true,
             ..Statement::new(Source::Peer)
         };
-        ids.iter().for_each(|id| self.hear(id, &statement));
+        ids.iter()
+            .for_each(|id| self.apply_statement(id, &statement));
     }
 
-    /// Upstreams that this box heard to leave lately, other than by the registry.
-    pub fn departures(&self) -> Vec<Name> {
+    /// Upstreams whose departure this box recently learned of other than through the registry.
+    pub fn recent_departures(&self) -> Vec<Name> {
         let now_ms = self.clock.now_ms();
         lock(&self.upstreams).recent_departures(now_ms)
     }
 
-    /// Takes in what other boxes know of upstreams' limits.
-    pub fn hear_limits(&self, limits: &[LimitUpdate]) {
-        for told in limits {
-            self.hear(&told.upstream, &told.statement());
+    /// Applies limits of upstreams that other boxes reported.
+    pub fn apply_limits(&self, limits: &[LimitUpdate]) {
+        for update in limits {
+            self.apply_statement(&update.upstream, &update.statement());
         }
     }
 
-    /// What other boxes are to know of upstreams' limits.
-    pub fn limits(&self) -> Vec<LimitUpdate> {
+    /// Recent limits of upstreams, for propagation to other boxes.
+    pub fn recent_limits(&self) -> Vec<LimitUpdate> {
         let now_ms = self.clock.now_ms();
         lock(&self.upstreams).recent_limits(now_ms)
     }
 
-    /// Waits until there is something that other boxes must know at once.
-    pub async fn until_urgent(&self) {
-        self.urgent.notified().await;
+    /// Waits until there is an update that other boxes need immediately.
+    pub async fn wait_for_urgent_update(&self) {
+        self.urgent_update.notified().await;
     }
 
-    /// Takes in that another incarnation answers at an upstream's address: this one has left.
-    pub fn upstream_left(&self, id: &Name) {
-        self.change_upstream(Source::OtherIncarnation, |fleet, _| {
+    /// Marks an upstream as left because another incarnation answers at its address.
+    pub fn mark_upstream_left(&self, id: &Name) {
+        self.update_fleet(Source::OtherIncarnation, |fleet, _| {
             vec![(id.clone(), fleet.mark_left(id))]
         });
     }
--- a/crates/ivyweir-gateway/src/state/unreadable.rs
+++ b/crates/ivyweir-gateway/src/state/unreadable_records.rs
@@ -1,4 +1,4 @@
-//! Records of the store that cannot be read, each told once.
+//! Records of the store that cannot be decoded; each is logged once.
 
 use std::collections::HashSet;
 
@@ -8,25 +8,26 @@
 use super::{Gateway, lock};
 use crate::dialect::{Topic, Unreadable};
 
-/// Unreadable records that are remembered, so that they are not told again; of more, each is counted.
-const REMEMBERED: usize = 4_096;
-/// Unreadable records of one listing that have a line each.
-const LOGGED_AT_ONCE: usize = 8;
+/// Maximum number of unreadable records that are tracked to report each only once. Records beyond it are reported
+/// each time they are read.
+const MAX_TRACKED: usize = 4_096;
+/// Maximum number of unreadable records of one listing that are logged individually.
+const MAX_LOGGED_PER_LISTING: usize = 8;
 
-/// Records that cannot be read, as last seen.
+/// Unreadable records as of the last read.
 #[derive(Debug, Default)]
 pub struct UnreadableRecords {
     known: HashSet<(Topic, Option<Name>)>,
 }
 
 impl UnreadableRecords {
-    /// Adds a record; returns whether it was not known.
+    /// Adds a record; returns whether it was not tracked before.
     fn add(&mut self, topic: Topic, name: Option<&Name>) -> bool {
         let key = (topic, name.cloned());
         if self.known.contains(&key) {
             return false;
         }
-        if self.known.len() < REMEMBERED {
+        if self.known.len() < MAX_TRACKED {
             self.known.insert(key);
         }
         true
@@ -34,41 +35,44 @@
 }
 
 impl Gateway {
-    /// Takes in that a record cannot be read.
+    /// Counts and logs a record that cannot be decoded, unless it is already tracked.
     pub fn note_unreadable(&self, topic: Topic, record: Unreadable) {
-        let is_new = lock(&self.unreadable).add(topic, record.name.as_ref());
+        let is_new = lock(&self.unreadable_records).add(topic, record.name.as_ref());
         if is_new {
-            self.tell_unreadable(topic, &record);
+            self.log_unreadable(topic, &record);
         }
     }
 
-    /// Takes in that a record can be read, or is gone.
+    /// Stops tracking a record that can be decoded again or was deleted.
     pub fn note_readable(&self, topic: Topic, name: Option<&Name>) {
-        let mut unreadable = lock(&self.unreadable);
+        let mut unreadable = lock(&self.unreadable_records);
         if !unreadable.known.is_empty() {
             unreadable.known.remove(&(topic, name.cloned()));
         }
     }
 
-    /// Takes in the unreadable records of a whole listing.
+    /// Replaces the unreadable records of a topic by those of a full listing.
     pub fn set_unreadable(&self, topic: Topic, records: Vec<Unreadable>) {
         let new: Vec<Unreadable> = {
-            let mut unreadable = lock(&self.unreadable);
+            let mut unreadable = lock(&self.unreadable_records);
             let before = std::mem::take(&mut unreadable.known);
-            let (own, others) = before.into_iter().partition(|(of, _)| *of == topic);
-            let own: HashSet<(Topic, Option<Name>)> = own;
+            let (same_topic, others) = before.into_iter().partition(|(of, _)| *of == topic);
+            let same_topic: HashSet<(Topic, Option<Name>)> = same_topic;
             unreadable.known = others;
             let records = records.into_iter();
             let new = records.filter(|record| {
                 let is_new = unreadable.add(topic, record.name.as_ref());
-                is_new && !own.contains(&(topic, record.name.clone()))
+                is_new && !same_topic.contains(&(topic, record.name.clone()))
             });
             new.collect()
         };
-        for record in new.iter().take(LOGGED_AT_ONCE) {
-            self.tell_unreadable(topic, record);
+        for record in new.iter().take(MAX_LOGGED_PER_LISTING) {
+            self.log_unreadable(topic, record);
         }
-        let Some(rest) = new.get(LOGGED_AT_ONCE..).filter(|rest| !rest.is_empty()) else {
+        let Some(rest) = new
+            .get(MAX_LOGGED_PER_LISTING..)
+            .filter(|rest| !rest.is_empty())
+        else {
             return;
         };
         for record in rest {
@@ -78,7 +82,7 @@
         self.log.line("records_unreadable", detail);
     }
 
-    fn tell_unreadable(&self, topic: Topic, record: &Unreadable) {
+    fn log_unreadable(&self, topic: Topic, record: &Unreadable) {
         self.count_unreadable(topic, record);
         let detail = json!({
             "topic": topic.name(), "name": record.name, "fault": record.fault.name(),
--- a/crates/ivyweir-gateway/src/state/usage.rs
+++ b/crates/ivyweir-gateway/src/state/usage.rs
@@ -1,4 +1,4 @@
-//! Requests that began, counted for reports of usage.
+//! Counts of started requests for the usage reports.
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::duty::report::UsageSchedule;
@@ -11,51 +11,51 @@
 use crate::clock;
 use crate::settings::Settings;
 
-/// What this box knows of usage; nothing is counted where none is reported.
-pub(super) struct UsageCount {
-    terms: Option<UsageSchedule>,
-    epoch: StableWallClock,
+/// Usage counts known to this box. Nothing is counted if usage is not reported.
+pub(super) struct UsageCounter {
+    schedule: Option<UsageSchedule>,
+    wall_clock: StableWallClock,
     table: UsageTable,
 }
 
-impl UsageCount {
-    /// Nothing counted yet in this run of the process.
-    pub(super) fn new(settings: &Settings, run: u64) -> Self {
+impl UsageCounter {
+    /// Creates empty counts for this run of the process.
+    pub(super) fn new(settings: &Settings, run_id: u64) -> Self {
         let usage = settings.duties.and_then(|duties| duties.usage);
         Self {
-            terms: usage.map(|usage| usage.terms()),
-            epoch: StableWallClock::default(),
+            schedule: usage.map(|usage| usage.terms()),
+            wall_clock: StableWallClock::default(),
             table: UsageTable::new(BoxRun {
                 name: settings.box_name.clone(),
-                run,
+                run: run_id,
             }),
         }
     }
 }
 
 impl Gateway {
-    /// Counts a request of a workspace that begins to run now.
-    pub fn count_begun(&self, workspace: &Name) {
+    /// Counts a request of a workspace that starts to run now.
+    pub fn count_usage(&self, workspace: &Name) {
         let mut usage = lock(&self.usage);
-        if let Some(terms) = usage.terms {
-            let window = terms.window_at(self.epoch_ms(&mut usage));
+        if let Some(schedule) = usage.schedule {
+            let window = schedule.window_at(self.epoch_ms(&mut usage));
             usage.table.count(workspace, window);
         }
     }
 
-    /// The time of day by which usage is counted.
+    /// Wall-clock time by which usage is counted, in milliseconds since the Unix epoch.
     pub fn usage_epoch_ms(&self) -> u64 {
         self.epoch_ms(&mut lock(&self.usage))
     }
 
-    /// The counts of these windows over all boxes.
-    pub fn usage_of(&self, windows: impl Iterator<Item = u64>) -> Vec<(u64, Counts)> {
+    /// Total counts over all boxes for each of these windows.
+    pub fn usage_totals(&self, windows: impl Iterator<Item = u64>) -> Vec<(u64, Counts)> {
         let usage = lock(&self.usage);
         let counts = windows.map(|window| (window, usage.table.total(window)));
         counts.collect()
     }
 
-    /// The first window in which anything was counted, as far as is remembered.
+    /// The earliest retained window with a count.
     pub fn first_usage_window(&self) -> Option<u64> {
         lock(&self.usage).table.first_window()
     }
@@ -70,31 +70,35 @@
         lock(&self.usage).table.fixed_window()
     }
 
-    /// What another box is to be told of usage.
-    pub fn usage_news_for(&self, peer: &Name, telling: UpdateContent) -> Option<UsageUpdate> {
+    /// Usage update for another box; `None` if usage is not reported or there is nothing to send.
+    pub fn usage_update_for(&self, peer: &Name, content: UpdateContent) -> Option<UsageUpdate> {
         let now_ms = self.clock.now_ms();
         let mut usage = lock(&self.usage);
-        usage.terms?;
-        usage.table.update_for(peer, telling, now_ms)
+        usage.schedule?;
+        usage.table.update_for(peer, content, now_ms)
     }
 
-    /// Takes in what another box told of usage; `is_near` says that it is of this hall.
-    pub fn hear_usage(&self, peer: &Name, news: UsageUpdate, is_near: bool) {
+    /// Applies a usage update from another box; `is_same_hall` says whether that box is in the hall of this one.
+    pub fn apply_usage_update(&self, peer: &Name, update: UsageUpdate, is_same_hall: bool) {
         let now_ms = self.clock.now_ms();
-        lock(&self.usage).table.apply(peer, news, is_near, now_ms);
+        lock(&self.usage)
+            .table
+            .apply(peer, update, is_same_hall, now_ms);
     }
 
-    /// Forgets windows that are long past.
+    /// Removes windows that are past their retention period.
     pub(super) fn sweep_usage(&self) {
         let mut usage = lock(&self.usage);
-        if let Some(terms) = usage.terms {
-            let oldest = terms.oldest_kept(self.epoch_ms(&mut usage));
+        if let Some(schedule) = usage.schedule {
+            let oldest = schedule.oldest_kept(self.epoch_ms(&mut usage));
             let now_ms = self.clock.now_ms();
             usage.table.discard_before(oldest, now_ms);
         }
     }
 
-    fn epoch_ms(&self, usage: &mut UsageCount) -> u64 {
-        usage.epoch.epoch_ms(clock::epoch_ms(), self.clock.now_ms())
+    fn epoch_ms(&self, usage: &mut UsageCounter) -> u64 {
+        usage
+            .wall_clock
+            .epoch_ms(clock::epoch_ms(), self.clock.now_ms())
     }
 }
--- a/crates/ivyweir-gateway/src/store_client.rs
+++ b/crates/ivyweir-gateway/src/store_client.rs
@@ -45,7 +45,7 @@
         limit: Duration,
     ) -> Result<StoreAnswer, CallError> {
         let answer = self.client.call(request, limit).await?;
-        let reported = self.gateway.codec.era(&answer.headers);
+        let reported = self.gateway.store_codec.era(&answer.headers);
         Ok(StoreAnswer {
             status: answer.status,
             body: answer.body,
@@ -64,12 +64,12 @@
         topic: Topic,
         after: Option<&str>,
     ) -> Result<(Page, u64), CallError> {
-        let request = self.gateway.codec.list(topic, after);
+        let request = self.gateway.store_codec.list(topic, after);
         let answer = self.call(request, ANSWER_LIMIT).await?;
         if answer.status != StatusCode::OK {
             return Err(CallError::refused(answer.status));
         }
-        let page = self.gateway.codec.page(topic, &answer.body);
+        let page = self.gateway.store_codec.page(topic, &answer.body);
         Ok((page.map_err(CallError::unreadable)?, answer.era))
     }
 }
--- a/crates/ivyweir-gateway/src/stream.rs
+++ b/crates/ivyweir-gateway/src/stream.rs
@@ -21,7 +21,7 @@
 use crate::job::{Job, strip_hop_by_hop};
 use crate::judge::weigh;
 use crate::log::Trace;
-use crate::state::{Active, Gateway, ReplacedWatch};
+use crate::state::{ActiveRequest, Gateway, ReplacementWatch};
 use crate::tries::Tries;
 
 /// Pauses between events from which their mean says something.
@@ -45,7 +45,7 @@
     model: usize,
     tries: &Tries,
     trace: Trace,
-    active: Active,
+    active: ActiveRequest,
 ) -> Response<AnswerBody> {
     let Reply {
         response,
@@ -63,7 +63,7 @@
         gateway: gateway.clone(),
         job,
         source: Source {
-            replaced: gateway.watch_replaced(&lease.upstream.id),
+            replaced: gateway.watch_replacement(&lease.upstream.id),
             body,
             lease,
             keep_ms,
@@ -97,7 +97,7 @@
     body: Incoming,
     lease: Lease,
     /// Whether another incarnation takes its place.
-    replaced: ReplacedWatch,
+    replaced: ReplacementWatch,
     keep_ms: Option<u64>,
     /// Whether its end is told by more than the end of the connection.
     is_framed: bool,
@@ -126,7 +126,7 @@
     tried: Vec<Name>,
     trace: Trace,
     ended: bool,
-    _active: Active,
+    _active: ActiveRequest,
 }
 
 /// What the upstream sent next.
@@ -159,7 +159,7 @@
                 Next::Broke(error) => {
                     self.broke(&error);
                     let upstream = self.source.lease.upstream.id.clone();
-                    self.gateway.until_looked(&upstream).await;
+                    self.gateway.wait_for_termination_check(&upstream).await;
                     if !self.resume(self.patient_until_ms()).await {
                         return Some(Err(self.break_off("stream broke off")));
                     }
--- a/crates/ivyweir-gateway/src/stream/resume.rs
+++ b/crates/ivyweir-gateway/src/stream/resume.rs
@@ -51,7 +51,7 @@
                 Err(ChooseError::AllBackingOff { for_ms })
                     if self
                         .gateway
-                        .takes_one_by(&self.job, for_ms, patient_until_ms) =>
+                        .has_capacity_by(&self.job, for_ms, patient_until_ms) =>
                 {
                     self.trace
                         .step("waits", json!({"backing_off_for_ms": for_ms}));
@@ -102,7 +102,7 @@
         self.partial.clear();
         self.source = Source {
             running: reply.marks.running(),
-            replaced: self.gateway.watch_replaced(&reply.lease.upstream.id),
+            replaced: self.gateway.watch_replacement(&reply.lease.upstream.id),
             body: reply.response.into_body(),
             lease: reply.lease,
             keep_ms: reply.keep_ms,
--- a/crates/ivyweir-gateway/src/sync/probe.rs
+++ b/crates/ivyweir-gateway/src/sync/probe.rs
@@ -87,7 +87,7 @@
             return false;
         }
         let now_ms = self.gateway.clock.now_ms();
-        let proven_at_ms = self.gateway.proof_at_ms();
+        let proven_at_ms = self.gateway.proof_asked_at_ms();
         self.probes.note_proof(proven_at_ms, now_ms);
         self.probes.is_due(now_ms)
     }
--- a/crates/ivyweir-gateway/src/sync/relay.rs
+++ b/crates/ivyweir-gateway/src/sync/relay.rs
@@ -55,7 +55,7 @@
             Ok(revision) => revision,
             Err(error) => return Err(self.found_no_copy(&error)),
         };
-        self.gateway.set_synced(self.topic);
+        self.gateway.mark_synced(self.topic);
         if self.topic == Topic::Site {
             self.judge_source(&relay);
         }
@@ -147,7 +147,9 @@
     fn box_wait_ms(&self, is_wanted: bool) -> u64 {
         match self.topic {
             // A box that has copied the configuration elsewhere needs only the proof.
-            Topic::Site if self.gateway.proof_at_ms().is_none() => return FIRST_PROOF_WAIT_MS,
+            Topic::Site if self.gateway.proof_asked_at_ms().is_none() => {
+                return FIRST_PROOF_WAIT_MS;
+            }
             Topic::Site => {}
             _ if is_wanted => return 0,
             Topic::Upstreams | Topic::Rollouts | Topic::DrainedHalls => return QUIET_WAIT_MS,
@@ -192,7 +194,7 @@
         // proof is of what the relay knows, which the box that gave a copy may not know yet.
         if let Some(proven_at_ms) = proven_at_ms
             && revision >= answer.revision
-            && gateway.is_proof_older_than(proven_at_ms)
+            && gateway.is_proof_superseded_by(proven_at_ms)
         {
             // Other followers hear of upstreams and drained halls. Without what the relay knows of them, its proof would
             // let this box go on with upstreams that left, and keep it from trying the store on its own.
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -64,7 +64,7 @@
         if self.confirmed(AnsweredBy::Store).await {
             self.gateway.renew_proof(asked_at_ms.cast_signed());
         }
-        self.gateway.set_synced(self.topic);
+        self.gateway.mark_synced(self.topic);
         Ok(revision)
     }
 
@@ -114,14 +114,17 @@
         let asked_at_ms = self.gateway.clock.now_ms();
         let is_wanted = self.begin_question();
         let wait_ms = self.wait_ms(is_wanted);
-        let request = self.gateway.codec.watch(self.topic, since.number, wait_ms);
+        let request = self
+            .gateway
+            .store_codec
+            .watch(self.topic, since.number, wait_ms);
         let mut answer = self.call_store(request, wait_ms).await;
         if self.failures == 0 && matches!(answer, Err(CallError::Lost { .. })) {
             // The store may cut a watch at any time; it is lost only if it does not answer then.
-            let request = self
-                .gateway
-                .codec
-                .watch(self.topic, since.number, AFTER_FAILURE_WAIT_MS);
+            let request =
+                self.gateway
+                    .store_codec
+                    .watch(self.topic, since.number, AFTER_FAILURE_WAIT_MS);
             answer = self.call_store(request, AFTER_FAILURE_WAIT_MS).await;
         }
         let changes = match answer.and_then(|answer| self.read(since.era, &answer)) {
@@ -203,7 +206,7 @@
             // After a restore, the same revision number stands for another change.
             StatusCode::OK if answer.era != era => Ok(None),
             StatusCode::OK => {
-                let changes = self.gateway.codec.changes(self.topic, &answer.body);
+                let changes = self.gateway.store_codec.changes(self.topic, &answer.body);
                 changes.map(Some).map_err(CallError::unreadable)
             }
             status => Err(CallError::refused(status)),
--- a/crates/ivyweir-gateway/src/tries.rs
+++ b/crates/ivyweir-gateway/src/tries.rs
@@ -72,7 +72,7 @@
                 "hall": choice.upstream.hall, "mean_work_ms": choice.mean_work_ms,
                 "candidates": choice.candidates, "model": tries.model,
                 "load_ms": choice.load_ms, "read_ms": choice.prefill_ms, "kept_part_ms": choice.saved_ms,
-                "pace_answers": gateway.with_pace(&job.pool, |pace| pace.sample_count(tries.model)),
+                "pace_answers": gateway.with_prefill_pace(&job.pool, |pace| pace.sample_count(tries.model)),
             }),
         );
         let sending = Sending {
@@ -92,7 +92,9 @@
             Sent::Lost => {
                 tries.tried.push(choice.upstream.id.clone());
                 // Before its caller hears of it too, who may come again at once: an end counts for the next try.
-                gateway.until_looked(&choice.upstream.id).await;
+                gateway
+                    .wait_for_termination_check(&choice.upstream.id)
+                    .await;
                 lost(gateway, job, tries)?;
             }
         }
@@ -110,7 +112,7 @@
 ) -> bool {
     let read_ms = gateway.estimate(job, tries.model).prefill_ms;
     let ahead = waiter.as_ref().map(Waiter::ahead);
-    !tries.may_have_run && gateway.is_worth_waiting(job, for_ms, read_ms, ahead)
+    !tries.may_have_run && gateway.should_wait(job, for_ms, read_ms, ahead)
 }
 
 /// Takes in that an upstream did not run the job; an error where no other is to be tried.
@@ -180,7 +182,7 @@
             side: job.side,
             tried,
         };
-        gateway.choose(&scope, &ask)
+        gateway.choose_upstream(&scope, &ask)
     };
     among(tried).or_else(|_| among(tried.last().map_or(&[], std::slice::from_ref)))
 }
@@ -210,7 +212,7 @@
 pub fn has_attempt(gateway: &Gateway, job: &Job, sent: u32) -> bool {
     sent < job.route.max_attempts
         && gateway.clock.now_ms() < job.deadline_ms
-        && gateway.take_repeat(&job.pool)
+        && gateway.try_take_retry(&job.pool)
 }
 
 /// Whether a request that may have run may run again, and there is an attempt left for it.
--- a/crates/ivyweir-gateway/src/words.rs
+++ b/crates/ivyweir-gateway/src/words.rs
@@ -55,11 +55,11 @@
         sleep(LEAST_PAUSE).await;
         let round = round_of(gateway.peers.hall_size() as u64).saturating_sub(LEAST_PAUSE);
         // A quarantine or a departure is told at once: each moment another box may send a request.
-        let _woken = timeout(round, gateway.until_urgent()).await;
+        let _woken = timeout(round, gateway.wait_for_urgent_update()).await;
         let now_ms = gateway.clock.now_ms();
         let mut word = match gateway.peers.relay(&gateway.settings.hall, now_ms) {
             Some(relay) => {
-                let own = gateway.own_word();
+                let own = gateway.local_report();
                 let told = std::mem::replace(&mut last_told, own.work.clone());
                 let message = own_message(&gateway, &relay.name, false, own, UpdateContent::Rows);
                 tell(&gateway, &mut clients, &relay, &message).await;
@@ -70,12 +70,12 @@
             None => {
                 tell_other_halls(&gateway, &mut clients).await;
                 let mut word = others_word(&gateway, |_| false);
-                add_retry_counts(&mut word.repeats, &gateway.own_word().repeats);
+                add_retry_counts(&mut word.repeats, &gateway.local_report().repeats);
                 word
             }
         };
         word.work.retain(|_, work_ms| *work_ms > 0.0);
-        gateway.take_others_word(word);
+        gateway.apply_remote_report(word);
     }
 }
 
@@ -144,16 +144,16 @@
         gateway.log.line("root_yielded", detail);
     }
     // A box that hears nothing itself goes back to one that does at once, rather than after its pause.
-    if message.hears && !gateway.hears_store() {
+    if message.hears && !gateway.receives_store_records() {
         gateway.peers.note_source(&message.from);
     }
-    gateway.hear_departures(&message.departures);
-    gateway.hear_limits(&message.limits);
+    gateway.apply_departures(&message.departures);
+    gateway.apply_limits(&message.limits);
     if let Some(news) = message.quarantine {
-        gateway.hear_ledger(&message.from, news);
+        gateway.apply_ledger_update(&message.from, news);
     }
     if let Some(news) = message.usage {
-        gateway.hear_usage(&message.from, news, !message.for_hall);
+        gateway.apply_usage_update(&message.from, news, !message.for_hall);
     }
     gateway.peers.take_word(&message.from, message.word, now_ms);
 }
@@ -168,13 +168,13 @@
 fn hall_word(gateway: &Gateway) -> PeerReport {
     let hall = &gateway.settings.hall;
     let mut word = others_word(gateway, |from| !gateway.peers.is_of_hall(from, hall));
-    word.add(&gateway.own_word());
+    word.add(&gateway.local_report());
     word
 }
 
 /// What a box of this hall is told: all work and repeats, its own included, and the counts of all others.
 fn word_for(gateway: &Gateway, asker: &Name, now_ms: u64) -> PeerReport {
-    let own = gateway.own_word();
+    let own = gateway.local_report();
     let (work, repeats) = gateway.peers.fleet_sum(FLEET_SUM_MAX_AGE_MS, now_ms, &own);
     let mut tallies = gateway.peers.tallies_except(asker, now_ms);
     add_tallies(&mut tallies, &own.tallies);
@@ -198,12 +198,12 @@
         from: gateway.settings.box_name.clone(),
         for_hall,
         is_root: gateway.histories.is_root(),
-        hears: gateway.hears_store(),
+        hears: gateway.receives_store_records(),
         word,
-        departures: gateway.departures(),
-        limits: gateway.limits(),
-        quarantine: gateway.ledger_news_for(to),
-        usage: gateway.usage_news_for(to, telling),
+        departures: gateway.recent_departures(),
+        limits: gateway.recent_limits(),
+        quarantine: gateway.ledger_update_for(to),
+        usage: gateway.usage_update_for(to, telling),
     }
 }
 
