--- a/crates/ivyweir-gateway/src/duties.rs
+++ b/crates/ivyweir-gateway/src/duties.rs
@@ -1,7 +1,8 @@
-//! Does the duties that one box does for all: reports usage and orders upstreams.
+//! Performs the duties that one box performs for all: it reports usage and orders upstreams.
 //!
-//! The box that hears the store itself tries to hold them. What is to be sent is written to the record first:
-//! the write renews the lease, and the next holder repeats what this one may not have sent.
+//! The root, which is the box that watches the store, tries to hold the lease on the duties. Reports and orders are
+//! written to the record before they are sent: the write renews the lease, and the next holder repeats those that this
+//! one may not have sent.
 
 mod calls;
 mod orders;
@@ -25,28 +26,28 @@
 use crate::state::Gateway;
 use crate::store_client::StoreClient;
 
-/// How often duties are looked at.
-const ROUND: Duration = Duration::from_millis(250);
-/// Pause after a call that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(500);
-/// The longest time that a duty's call may take; a part of the lease must be left for it.
-const CALL_LIMIT_MS: u64 = 1_000;
-/// The same as a part of a short lease.
-const CALL_PART: u64 = 3;
+/// Interval between checks for due work.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Time-out of a duty's call. A call is sent only if the lease outlasts it.
+const MAX_CALL_TIMEOUT_MS: u64 = 1_000;
+/// With a short lease, the time-out is the lease duration divided by this.
+const CALL_TIMEOUT_LEASE_DIVISOR: u64 = 3;
 
-/// Does the duties for the life of the process.
+/// Performs the duties for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>, settings: settings::Duties) {
     let mut worker = Worker::new(gateway, settings);
     loop {
-        sleep(ROUND).await;
+        sleep(POLL_INTERVAL).await;
         if !worker.gateway.histories.is_root() {
-            worker.rest();
+            worker.stand_down();
             continue;
         }
-        if let Err(e) = worker.round().await {
+        if let Err(e) = worker.poll().await {
             let detail = json!({"error": e.to_string()});
             worker.gateway.log.line("duties_delayed", detail);
-            sleep(FAILED_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
@@ -56,34 +57,34 @@
     settings: settings::Duties,
     store: StoreClient,
     platform: Client,
-    call_limit: Duration,
+    call_timeout: Duration,
     lease: Lease,
-    /// Since when this box hears the store itself, and so the counts of all halls.
-    hearing_since_ms: Option<u64>,
-    /// Windows whose reports were accepted.
-    accepted: BTreeSet<u64>,
-    /// Orders that were written down and not sent yet.
-    unsent: Vec<UpstreamOrder>,
+    /// When this box became the root, and so began to receive the counts of all halls; `None` if it is not the root.
+    root_since_ms: Option<u64>,
+    /// Windows whose reports the platform accepted.
+    accepted_windows: BTreeSet<u64>,
+    /// Planned orders that have not been sent yet.
+    unsent_orders: Vec<UpstreamOrder>,
     planners: HashMap<Name, ScalingPlanner>,
 }
 
-/// What is to be written to the record.
+/// Changes to write to the record.
 #[derive(Debug, Default)]
-struct News {
+struct RecordUpdate {
     reports: Vec<UsageReport>,
     orders: Vec<UpstreamOrder>,
 }
 
-impl News {
+impl RecordUpdate {
     fn is_empty(&self) -> bool {
         self.reports.is_empty() && self.orders.is_empty()
     }
 
-    /// Adds it to the record, from which accepted reports are dropped.
-    fn write_to(self, record: &mut DutyRecord, accepted: &BTreeSet<u64>) {
+    /// Applies the changes to the record and removes reports that were accepted.
+    fn apply_to(self, record: &mut DutyRecord, accepted_windows: &BTreeSet<u64>) {
         record
             .reports
-            .retain(|report| !accepted.contains(&report.window));
+            .retain(|report| !accepted_windows.contains(&report.window));
         let newest = self.reports.iter().map(|report| report.window).max();
         record.fixed_window = newest.max(record.fixed_window);
         record.reports.extend(self.reports);
@@ -96,8 +97,8 @@
 
 impl Worker {
     fn new(gateway: Arc<Gateway>, settings: settings::Duties) -> Self {
-        let call_ms = CALL_LIMIT_MS.min(settings.lease_ms / CALL_PART);
-        let terms = LeaseConfig {
+        let call_ms = MAX_CALL_TIMEOUT_MS.min(settings.lease_ms / CALL_TIMEOUT_LEASE_DIVISOR);
+        let lease_config = LeaseConfig {
             lease_ms: settings.lease_ms,
             call_ms,
         };
@@ -105,58 +106,63 @@
         Self {
             store: StoreClient::new(gateway.clone()),
             platform: Client::new(settings.addr),
-            call_limit: Duration::from_millis(call_ms),
-            lease: Lease::new(me, gateway.run_id, terms),
-            hearing_since_ms: None,
-            accepted: BTreeSet::new(),
-            unsent: Vec::new(),
+            call_timeout: Duration::from_millis(call_ms),
+            lease: Lease::new(me, gateway.run_id, lease_config),
+            root_since_ms: None,
+            accepted_windows: BTreeSet::new(),
+            unsent_orders: Vec::new(),
             planners: HashMap::new(),
             gateway,
             settings,
         }
     }
 
-    /// Does nothing while another box hears the store: what was planned by holds no more afterwards.
-    fn rest(&mut self) {
-        self.hearing_since_ms = None;
+    /// Discards the planning state, which is outdated by the time this box becomes the root again.
+    fn stand_down(&mut self) {
+        self.root_since_ms = None;
         self.planners.clear();
-        self.unsent.clear();
+        self.unsent_orders.clear();
     }
 
-    async fn round(&mut self) -> Result<(), CallError> {
+    async fn poll(&mut self) -> Result<(), CallError> {
         let now_ms = self.gateway.clock.now_ms();
-        let since_ms = *self.hearing_since_ms.get_or_insert(now_ms);
+        let root_since_ms = *self.root_since_ms.get_or_insert(now_ms);
         match self.lease.step(now_ms) {
             LeaseStep::Read => self.read().await,
             LeaseStep::Wait => Ok(()),
             LeaseStep::TakeOver => {
-                self.write(News::default()).await?;
+                self.write(RecordUpdate::default()).await?;
                 self.log_holder();
                 Ok(())
             }
-            LeaseStep::Held => self.work(now_ms.saturating_sub(since_ms)).await,
+            LeaseStep::Held => self.perform(now_ms.saturating_sub(root_since_ms)).await,
         }
     }
 
-    /// Does what is due as the holder; `hearing_ms` is for how long this box has heard the counts of others.
-    async fn work(&mut self, hearing_ms: u64) -> Result<(), CallError> {
+    /// Performs the due work as the holder of the lease. `root_for_ms` is the time for which this box has received the
+    /// counts of all halls.
+    async fn perform(&mut self, root_for_ms: u64) -> Result<(), CallError> {
         let now_ms = self.gateway.clock.now_ms();
-        let news = News {
-            reports: self.reports_to_fix(hearing_ms),
+        let update = RecordUpdate {
+            reports: self.reports_to_fix(root_for_ms),
             orders: self.plan(now_ms),
         };
-        self.unsent
-            .retain(|order| !news.orders.iter().any(|newer| newer.has_same_scope(order)));
-        self.unsent.extend(news.orders.iter().cloned());
-        let has_calls = !self.unsent.is_empty() || self.open_reports().next().is_some();
-        if !news.is_empty() || has_calls && self.lease.fence(now_ms).is_none() {
-            self.write(news).await?;
+        self.unsent_orders.retain(|order| {
+            !update
+                .orders
+                .iter()
+                .any(|newer| newer.has_same_scope(order))
+        });
+        self.unsent_orders.extend(update.orders.iter().cloned());
+        let has_calls = !self.unsent_orders.is_empty() || self.pending_reports().next().is_some();
+        if !update.is_empty() || has_calls && self.lease.fence(now_ms).is_none() {
+            self.write(update).await?;
         }
         self.send_reports().await?;
         self.send_orders().await
     }
 
-    fn reports_to_fix(&self, hearing_ms: u64) -> Vec<UsageReport> {
+    fn reports_to_fix(&self, root_for_ms: u64) -> Vec<UsageReport> {
         let Some(usage) = self.settings.usage else {
             return Vec::new();
         };
@@ -164,7 +170,7 @@
         let windows = usage.terms().windows_to_fix(
             gateway.fixed_usage_window(),
             gateway.first_usage_window(),
-            hearing_ms,
+            root_for_ms,
             gateway.usage_epoch_ms(),
         );
         let counts = gateway.usage_totals(windows).into_iter();
@@ -172,29 +178,29 @@
         reports.collect()
     }
 
-    /// Reports that are fixed and not known to be accepted, oldest first.
-    fn open_reports(&self) -> impl Iterator<Item = &UsageReport> {
+    /// Fixed reports that are not known to be accepted, oldest first.
+    fn pending_reports(&self) -> impl Iterator<Item = &UsageReport> {
         let reports = self.lease.reports().iter();
-        reports.filter(|report| !self.accepted.contains(&report.window))
+        reports.filter(|report| !self.accepted_windows.contains(&report.window))
     }
 
     async fn read(&mut self) -> Result<(), CallError> {
         let request = self.gateway.store_codec.read_duties();
-        self.ask_store(request).await
+        self.call_store(request).await
     }
 
-    async fn write(&mut self, news: News) -> Result<(), CallError> {
+    async fn write(&mut self, update: RecordUpdate) -> Result<(), CallError> {
         let now_ms = self.gateway.clock.now_ms();
-        let accepted = &self.accepted;
+        let accepted_windows = &self.accepted_windows;
         let (record, revision) = self
             .lease
-            .write(now_ms, |record| news.write_to(record, accepted));
+            .write(now_ms, |record| update.apply_to(record, accepted_windows));
         let request = self.gateway.store_codec.write_duties(&record, revision);
-        self.ask_store(request).await
+        self.call_store(request).await
     }
 
-    /// Reads or writes the record, and takes in how it stands then.
-    async fn ask_store(&mut self, request: Request<Bytes>) -> Result<(), CallError> {
+    /// Sends a read or write of the record, and processes the state of the record in the answer.
+    async fn call_store(&mut self, request: Request<Bytes>) -> Result<(), CallError> {
         let answer = self.store.call(request, ANSWER_LIMIT).await;
         let outcome = if answer.is_ok() { "ok" } else { "failed" };
         let calls = &self.gateway.metrics.store_calls;
@@ -214,7 +220,7 @@
             self.gateway.note_fixed_usage_window(window);
         }
         let reports = self.lease.reports();
-        self.accepted
+        self.accepted_windows
             .retain(|window| reports.iter().any(|report| report.window == *window));
         Ok(())
     }
--- a/crates/ivyweir-gateway/src/duties/calls.rs
+++ b/crates/ivyweir-gateway/src/duties/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of duties to the platform.
+//! Calls to the platform that perform the duties.
 
 use bytes::Bytes;
 use hyper::{Request, StatusCode};
@@ -11,7 +11,7 @@
 impl Worker {
     pub(super) async fn send_reports(&mut self) -> Result<(), CallError> {
         loop {
-            let next = self.open_reports().next().cloned();
+            let next = self.pending_reports().next().cloned();
             let Some((report, fence)) = next.zip(self.fence()) else {
                 return Ok(());
             };
@@ -25,18 +25,18 @@
             });
             self.gateway.log.line("usage_reported", detail);
             if !status.is_success() {
-                return self.refused(status);
+                return self.handle_refusal(status);
             }
-            self.accepted.insert(report.window);
+            self.accepted_windows.insert(report.window);
         }
     }
 
     pub(super) async fn send_orders(&mut self) -> Result<(), CallError> {
-        // The others were planned while a write before them was open, and are planned again.
+        // Orders missing from the record were planned while an earlier write was pending. They are planned again.
         let recorded = self.lease.orders();
-        self.unsent.retain(|order| recorded.contains(order));
+        self.unsent_orders.retain(|order| recorded.contains(order));
         loop {
-            let next = self.unsent.first().cloned();
+            let next = self.unsent_orders.first().cloned();
             let Some((order, fence)) = next.zip(self.fence()) else {
                 return Ok(());
             };
@@ -53,15 +53,15 @@
                 let planner = self.planners.entry(order.pool.clone()).or_default();
                 planner.record_refusal(&order, now_ms);
             } else if !status.is_success() {
-                return self.refused(status);
+                return self.handle_refusal(status);
             }
-            self.unsent.remove(0);
+            self.unsent_orders.remove(0);
         }
     }
 
-    /// Takes in that the platform refused a duty's call.
-    fn refused(&mut self, status: StatusCode) -> Result<(), CallError> {
-        // A busy platform says nothing of the fence.
+    /// Ends the lease if the platform rejected a call because of its fence; returns the error.
+    fn handle_refusal(&mut self, status: StatusCode) -> Result<(), CallError> {
+        // A rejection due to overload does not concern the fence.
         if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
             self.lease.invalidate();
         }
@@ -84,7 +84,7 @@
         duty: &str,
         request: Request<Bytes>,
     ) -> Result<StatusCode, CallError> {
-        let answer = self.platform.call(request, self.call_limit).await;
+        let answer = self.platform.call(request, self.call_timeout).await;
         let outcome = match &answer {
             Ok(answer) if answer.status.is_success() => "ok",
             Ok(_) => "refused",
--- a/crates/ivyweir-gateway/src/duties/orders.rs
+++ b/crates/ivyweir-gateway/src/duties/orders.rs
@@ -1,4 +1,4 @@
-//! Which upstreams the holder orders.
+//! Planning of the upstreams that the holder orders.
 
 use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use serde_json::json;
@@ -6,7 +6,7 @@
 use super::Worker;
 
 impl Worker {
-    /// Plans the upstreams of all pools that may be ordered.
+    /// Plans orders for all pools with scaling.
     pub(super) fn plan(&mut self, now_ms: u64) -> Vec<UpstreamOrder> {
         let Some(site) = self
             .gateway
--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -25,7 +25,6 @@
 pub mod client;
 pub mod clock;
 pub mod dialect;
-mod drive;
 mod duties;
 mod ends;
 mod follow;
@@ -35,14 +34,15 @@
 mod job;
 mod join;
 mod judge;
-mod keep;
 mod log;
 pub mod message;
 mod metrics;
 pub mod native;
 mod peers;
 mod pipeline;
+mod quarantine_sync;
 mod refusal;
+mod rollout_driver;
 mod server;
 mod settings;
 pub mod settings_file;
@@ -172,8 +172,8 @@
     for topic in gateway.topics() {
         tokio::spawn(sync::follow(gateway.clone(), *topic));
     }
-    tokio::spawn(drive::run(gateway.clone()));
-    tokio::spawn(keep::run(gateway.clone()));
+    tokio::spawn(rollout_driver::run(gateway.clone()));
+    tokio::spawn(quarantine_sync::run(gateway.clone()));
     if let Some(duties) = gateway.settings.duties {
         tokio::spawn(duties::run(gateway.clone(), duties));
     }
--- a/crates/ivyweir-gateway/src/keep.rs
+++ b/crates/ivyweir-gateway/src/quarantine_sync.rs
@@ -1,8 +1,8 @@
-//! Keeps quarantined requests in the store, for the case that all boxes lose their memory at once.
+//! Synchronizes quarantines with the store, so that they survive a simultaneous restart of all boxes.
 //!
-//! Boxes tell each other their ledgers, so the store is only written to when a request is quarantined or
-//! released, and only read by a box that hears the store itself: when it begins to, and now and then while a
-//! request is quarantined, so that operators lift a quarantine by removing its record.
+//! Boxes exchange their ledgers directly. The store is therefore written only when a request is quarantined or
+//! released, and read only by the root: when it first becomes the root, after a restore of the store, and periodically
+//! while there are records, so that operators can lift a quarantine by removing its record.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,104 +18,105 @@
 use crate::state::Gateway;
 use crate::store_client::{StoreAnswer, StoreClient};
 
-/// How often a box looks whether there is something to write.
-const ROUND: Duration = Duration::from_millis(250);
-/// Pause after a call that failed: the quarantine holds meanwhile, in memory.
-const FAILED_PAUSE: Duration = Duration::from_secs(2);
-/// How often the records are read while there are some: an operator who lifts one waits for as long.
-const LOOK_MS: u64 = 5_000;
-/// Quarantined requests that are kept; one listing holds them all.
-const MOST_KEPT: usize = 256;
+/// Interval between checks for quarantines to write.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay after a failed call. Quarantines stay in force in memory meanwhile.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Interval between reads of the records while there are any, and so the maximum delay until the removal of a record
+/// takes effect.
+const REFRESH_INTERVAL_MS: u64 = 5_000;
+/// Maximum number of records in the store, so that one listing returns them all.
+const MAX_RECORDS: usize = 256;
 
-/// Keeps quarantined requests for the life of the process.
+/// Synchronizes quarantines for the lifetime of the process.
 pub async fn run(gateway: Arc<Gateway>) {
-    let mut keeper = Keeper {
+    let mut sync = QuarantineSync {
         client: StoreClient::new(gateway.clone()),
         gateway,
-        kept: HashSet::new(),
+        stored: HashSet::new(),
         listed_era: 0,
-        looked_at_ms: None,
+        refreshed_at_ms: None,
     };
     loop {
-        sleep(ROUND).await;
-        if !keeper.gateway.histories.is_root() {
+        sleep(POLL_INTERVAL).await;
+        if !sync.gateway.histories.is_root() {
             continue;
         }
-        if let Err(e) = keeper.round().await {
+        if let Err(e) = sync.poll().await {
             let detail = json!({"error": e.to_string()});
-            keeper.gateway.log.line("quarantines_not_kept", detail);
-            sleep(FAILED_PAUSE).await;
+            sync.gateway.log.line("quarantines_not_kept", detail);
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-struct Keeper {
+struct QuarantineSync {
     gateway: Arc<Gateway>,
     client: StoreClient,
-    /// Requests of which the store has a record, as far as is known.
-    kept: HashSet<Fingerprint>,
+    /// Requests known to have a record in the store.
+    stored: HashSet<Fingerprint>,
     /// Store era of the last listing of the records.
     listed_era: u64,
     /// When the records were last read.
-    looked_at_ms: Option<u64>,
+    refreshed_at_ms: Option<u64>,
 }
 
-impl Keeper {
-    async fn round(&mut self) -> Result<(), CallError> {
-        if self.is_look_due() {
-            self.look().await?;
+impl QuarantineSync {
+    async fn poll(&mut self) -> Result<(), CallError> {
+        if self.is_refresh_due() {
+            self.refresh().await?;
         }
         let quarantined = self.gateway.quarantined();
-        let released: Vec<Fingerprint> = self.kept.difference(&quarantined).copied().collect();
+        let released: Vec<Fingerprint> = self.stored.difference(&quarantined).copied().collect();
         for fingerprint in released {
             let request = self.gateway.store_codec.drop_quarantine(fingerprint);
             self.write(request, &[StatusCode::OK, StatusCode::NOT_FOUND])
                 .await?;
-            self.kept.remove(&fingerprint);
+            self.stored.remove(&fingerprint);
         }
         for fingerprint in quarantined {
-            self.keep(fingerprint).await?;
+            self.store_record(fingerprint).await?;
         }
         Ok(())
     }
 
-    fn is_look_due(&self) -> bool {
+    fn is_refresh_due(&self) -> bool {
         let now_ms = self.gateway.clock.now_ms();
         let store_era = self.gateway.store_era();
-        match self.looked_at_ms {
+        match self.refreshed_at_ms {
             None => true,
             Some(_) if store_era.is_some_and(|era| era != self.listed_era) => true,
-            Some(at_ms) => !self.kept.is_empty() && now_ms >= at_ms + LOOK_MS,
+            Some(at_ms) => !self.stored.is_empty() && now_ms >= at_ms + REFRESH_INTERVAL_MS,
         }
     }
 
-    /// Reads the records: those gone within an era of the store were lifted by an operator, others may have outlasted all
-    /// boxes.
-    async fn look(&mut self) -> Result<(), CallError> {
+    /// Reads the records. The quarantine of a record that disappeared within an era of the store was lifted by an
+    /// operator. Quarantines that no box knows any more are restored.
+    async fn refresh(&mut self) -> Result<(), CallError> {
         let request = self.gateway.store_codec.list_quarantines();
         let answer = self.call(request).await?;
-        // A store that never held one may not know the kind.
+        // A store that never held such a record may not know its kind.
         let records = match answer.status {
-            StatusCode::OK => self.read(&answer)?,
+            StatusCode::OK => self.decode_records(&answer)?,
             StatusCode::NOT_FOUND => Vec::new(),
             status => return Err(CallError::refused(status)),
         };
         let listed: HashSet<Fingerprint> = records.iter().map(|r| r.fingerprint).collect();
         // After a restore, a missing record may be lost rather than removed by an operator. Its quarantine
-        // stays in force, and `round` writes the record again.
+        // stays in force, and `poll` writes the record again.
         if answer.era == self.listed_era {
-            let lifted = self.kept.difference(&listed).copied();
+            let lifted = self.stored.difference(&listed).copied();
             self.gateway.lift_quarantines(lifted.collect());
         }
         self.listed_era = answer.era;
         self.gateway.restore_quarantines(&records);
-        self.kept = listed;
-        self.looked_at_ms = Some(self.gateway.clock.now_ms());
+        self.stored = listed;
+        self.refreshed_at_ms = Some(self.gateway.clock.now_ms());
         Ok(())
     }
 
-    /// The records that can be read.
-    fn read(&self, answer: &StoreAnswer) -> Result<Vec<QuarantineRecord>, CallError> {
+    /// Decodes the records of a listing; logs and skips those that cannot be decoded.
+    fn decode_records(&self, answer: &StoreAnswer) -> Result<Vec<QuarantineRecord>, CallError> {
         let entries = self.gateway.store_codec.quarantines(&answer.body);
         let mut records = Vec::new();
         for entry in entries.map_err(CallError::unreadable)? {
@@ -130,9 +131,9 @@
         Ok(records)
     }
 
-    /// Writes the record of a request, unless there is one.
-    async fn keep(&mut self, fingerprint: Fingerprint) -> Result<(), CallError> {
-        if self.kept.contains(&fingerprint) || self.kept.len() >= MOST_KEPT {
+    /// Writes the record of a quarantined request, unless it has one.
+    async fn store_record(&mut self, fingerprint: Fingerprint) -> Result<(), CallError> {
+        if self.stored.contains(&fingerprint) || self.stored.len() >= MAX_RECORDS {
             return Ok(());
         }
         let Some(record) = self.gateway.quarantine_record(fingerprint) else {
@@ -141,17 +142,17 @@
         let request = self.gateway.store_codec.keep_quarantine(&record);
         let written = [StatusCode::OK, StatusCode::CREATED, StatusCode::CONFLICT];
         self.write(request, &written).await?;
-        self.kept.insert(fingerprint);
+        self.stored.insert(fingerprint);
         Ok(())
     }
 
     async fn write(
         &mut self,
         request: Request<Bytes>,
-        done: &[StatusCode],
+        accepted: &[StatusCode],
     ) -> Result<(), CallError> {
         let answer = self.call(request).await?;
-        if done.contains(&answer.status) {
+        if accepted.contains(&answer.status) {
             Ok(())
         } else {
             Err(CallError::refused(answer.status))
