--- a/crates/ivyweir-gateway/src/state/placement.rs
+++ b/crates/ivyweir-gateway/src/state/placement.rs
@@ -62,13 +62,13 @@
     pub fn choose_upstream(
         &self,
         scope: &Scope,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
     ) -> Result<Choice, ChooseError> {
         let now_ms = self.clock.now_ms();
         let rules = self.send_rules(scope.pool, now_ms);
         let mut upstreams = lock(&self.upstreams);
         let target = self.rollout_target(scope.pool);
-        upstreams.choose(scope, ask, target.as_ref(), &rules, now_ms)
+        upstreams.choose(scope, request, target.as_ref(), &rules, now_ms)
     }
 
     /// Checks whether a request may be sent to an upstream now and, if so, counts it.
--- a/crates/ivyweir-gateway/src/state/rollouts.rs
+++ b/crates/ivyweir-gateway/src/state/rollouts.rs
@@ -60,21 +60,21 @@
                 .set_remote_tally(tally, now_ms)
                 .then(|| tracker.total_tally())
         });
-        if let Some(sum) = condemned {
-            self.log_condemned(pool, &sum);
+        if let Some(tally) = condemned {
+            self.log_condemned(pool, &tally);
         }
     }
 
     /// Logs the tally for which a version was condemned.
-    pub fn log_condemned(&self, pool: &Name, sum: &Tally) {
-        let detail = json!({"pool": pool, "bad_of_all": tally_json(sum)});
+    pub fn log_condemned(&self, pool: &Name, tally: &Tally) {
+        let detail = json!({"pool": pool, "bad_of_all": tally_json(tally)});
         self.log.line("version_condemned", detail);
     }
 }
 
 /// Formats a tally for the log.
-pub fn tally_json(sum: &Tally) -> Value {
-    let rows = sum.iter().map(|(group, c)| {
+pub fn tally_json(tally: &Tally) -> Value {
+    let rows = tally.iter().map(|(group, c)| {
         json!({
             "fault": group.criterion, "lane": group.lane,
             "new": [c.new.bad, c.new.all], "old": [c.old.bad, c.old.all],
