--- a/crates/ivyweir-gateway/src/admit.rs
+++ b/crates/ivyweir-gateway/src/admit.rs
@@ -92,7 +92,7 @@
     let waits = || !gateway.is_synced() || gateway.is_starting();
     if waits() {
         let until = Instant::now() + START_WAIT;
-        let mut news = gateway.histories.news();
+        let mut news = gateway.histories.subscribe();
         while waits() && timeout_at(until, news.changed()).await.is_ok() {}
     }
     // Without a proof it may still serve those that need no key.
@@ -102,7 +102,7 @@
 
 /// Why a box that knows no configuration refuses.
 fn unknown_site(gateway: &Gateway) -> Reason {
-    if gateway.peers.is_young() {
+    if gateway.peers.is_fleet_starting() {
         Reason::Starting
     } else {
         Reason::NotCurrent
--- a/crates/ivyweir-gateway/src/adopt.rs
+++ b/crates/ivyweir-gateway/src/apply.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use crate::dialect::{Change, Entry, Item, Topic};
-use crate::history::PassedChange;
+use crate::history::RecordChange;
 use crate::state::Gateway;
 
 /// Whether a listing contains all records of its topic.
@@ -25,18 +25,18 @@
 }
 
 /// Adopts the records that a topic listing contains as of a revision.
-pub fn adopt_all(
+pub fn apply_listing(
     gateway: &Gateway,
     topic: Topic,
     revision: Revision,
     kind: ListingKind,
     entries: Vec<Entry>,
 ) {
-    adopt_entries(gateway, topic, revision, kind, entries);
-    gateway.histories.restart(topic, revision);
+    apply_entries(gateway, topic, revision, kind, entries);
+    gateway.histories.reset(topic, revision);
 }
 
-fn adopt_entries(
+fn apply_entries(
     gateway: &Gateway,
     topic: Topic,
     revision: Revision,
@@ -55,15 +55,15 @@
     }
     // A record that cannot be read may be one of those that are missing.
     if items.len() == listed && kind == ListingKind::Complete {
-        remove_all_but(gateway, topic, &items);
+        remove_unlisted(gateway, topic, &items);
     }
     for item in items {
-        adopt_item(gateway, revision, item);
+        apply_item(gateway, revision, item);
     }
 }
 
 /// Forgets roll-outs and drained halls that a whole listing lacks: they were withdrawn unheard.
-fn remove_all_but(gateway: &Gateway, topic: Topic, listed: &[Item]) {
+fn remove_unlisted(gateway: &Gateway, topic: Topic, listed: &[Item]) {
     let known: Vec<Name> = match topic {
         Topic::Rollouts => gateway.with_rollouts(|rollouts, _| rollouts.keys().cloned().collect()),
         Topic::DrainedHalls => gateway.drained_halls(),
@@ -95,50 +95,50 @@
     gateway: &Gateway,
     topic: Topic,
     changes: Vec<Change>,
-) -> Vec<PassedChange> {
+) -> Vec<RecordChange> {
     let read = |change| match change {
         Change::Put(Ok(item)) => {
             gateway.note_readable(topic, item.name());
-            Some(PassedChange::Put(item))
+            Some(RecordChange::Put(item))
         }
         Change::Put(Err(e)) => {
             let name = e.name.clone().filter(|_| topic == Topic::Upstreams);
             gateway.note_unreadable(topic, e);
-            name.map(PassedChange::Gone)
+            name.map(RecordChange::Deleted)
         }
         Change::Gone(name) => {
             gateway.note_readable(topic, Some(&name));
-            Some(PassedChange::Gone(name))
+            Some(RecordChange::Deleted(name))
         }
     };
     changes.into_iter().filter_map(read).collect()
 }
 
 /// Takes in changes of a topic, up to a revision.
-pub fn adopt_changes(
+pub fn apply_changes(
     gateway: &Gateway,
     topic: Topic,
     revision: Revision,
-    changes: Vec<PassedChange>,
+    changes: Vec<RecordChange>,
 ) {
     for change in changes.iter().cloned() {
         match change {
-            PassedChange::Put(item) => adopt_item(gateway, revision, item),
-            PassedChange::Gone(name) => remove(gateway, topic, &name),
+            RecordChange::Put(item) => apply_item(gateway, revision, item),
+            RecordChange::Deleted(name) => remove(gateway, topic, &name),
         }
     }
     let records = gateway.bulk(topic);
-    gateway.histories.push(topic, revision, changes, records);
+    gateway.histories.append(topic, revision, changes, records);
 }
 
-fn adopt_item(gateway: &Gateway, revision: Revision, item: Item) {
+fn apply_item(gateway: &Gateway, revision: Revision, item: Item) {
     match item {
-        Item::Site(site) => adopt_site(gateway, revision, *site),
+        Item::Site(site) => apply_site(gateway, revision, *site),
         Item::Upstream(record) => gateway.change_upstream(Source::Record, |fleet, now_ms| {
             let id = record.id.clone();
             vec![(id, fleet.put(record, now_ms))]
         }),
-        Item::Rollout(order) => adopt_rollout(gateway, order),
+        Item::Rollout(order) => apply_rollout(gateway, order),
         Item::DrainedHall(hall) => gateway.drain_hall(hall),
     }
 }
@@ -162,7 +162,7 @@
 }
 
 /// Takes in a roll-out's record.
-pub fn adopt_rollout(gateway: &Gateway, order: RolloutOrder) {
+pub fn apply_rollout(gateway: &Gateway, order: RolloutOrder) {
     let detail = json!({
         "pool": order.pool, "target_version": order.target_version,
         "state": order.state, "revision": order.store_revision().to_string(),
@@ -179,7 +179,7 @@
     });
 }
 
-fn adopt_site(gateway: &Gateway, revision: Revision, mut site: SiteConfig) {
+fn apply_site(gateway: &Gateway, revision: Revision, mut site: SiteConfig) {
     let (version, routes) = (site.version, site.routes.len());
     for pool in &mut site.pools {
         if let Some(start) = pool.cold_start.take_if(|start| !start.is_valid()) {
--- a/crates/ivyweir-gateway/src/gather.rs
+++ b/crates/ivyweir-gateway/src/buffer.rs
@@ -17,10 +17,10 @@
 use crate::state::Gateway;
 
 /// Largest answer that is gathered before it is passed on.
-const WHOLE_ANSWER_BYTES: usize = 4 << 20;
+const MAX_BUFFERED_BYTES: usize = 4 << 20;
 
 /// Reads a whole answer and passes it on; gives the upstream where it broke off.
-pub async fn gather(
+pub async fn buffer_response(
     gateway: &Gateway,
     job: &Job,
     reply: Reply,
@@ -41,7 +41,7 @@
     let mut replaced = gateway.watch_replaced(&upstream);
     let body = tokio::select! {
         biased;
-        body = timeout(limit, Limited::new(body, WHOLE_ANSWER_BYTES).collect()) => body,
+        body = timeout(limit, Limited::new(body, MAX_BUFFERED_BYTES).collect()) => body,
         () = replaced.replaced(gateway) => {
             lease.broke();
             trace.fail("upstream_replaced", json!({"upstream": upstream}));
@@ -77,12 +77,12 @@
         trace.step("answered", detail);
     }
     // Only an upstream's own word makes 429, 503 and the like true; it was heard before.
-    if promises_not_run(head.status.as_u16()) {
+    if is_not_run_status(head.status.as_u16()) {
         return Ok(Reason::AnswerLost.into_answer(false));
     }
     Ok(Response::from_parts(head, whole(bytes)))
 }
 
-fn promises_not_run(status: u16) -> bool {
+fn is_not_run_status(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/ivyweir-gateway/src/drive.rs
+++ b/crates/ivyweir-gateway/src/drive.rs
@@ -9,11 +9,11 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::adopt::adopt_rollout;
+use crate::apply::apply_rollout;
 use crate::client::ANSWER_LIMIT;
 use crate::state::Gateway;
 use crate::state::counts_of;
-use crate::store_client::{StoreAnswer, StoreClient};
+use crate::store_client::{StoreClient, StoreResponse};
 
 /// How often duties are looked at.
 const ROUND: Duration = Duration::from_millis(100);
@@ -118,7 +118,7 @@
 }
 
 /// Takes in the record as it is now; returns whose write it is, or why it is not known.
-fn take_answer(gateway: &Gateway, answer: &StoreAnswer) -> Result<&'static str, String> {
+fn take_answer(gateway: &Gateway, answer: &StoreResponse) -> Result<&'static str, String> {
     let outcome = match answer.status {
         StatusCode::OK => "written",
         StatusCode::CONFLICT => "conflict",
@@ -127,6 +127,6 @@
     let now = gateway.codec.rollout(&answer.body);
     let mut now = now.map_err(|e| e.to_string())?;
     now.era = answer.era;
-    adopt_rollout(gateway, now);
+    apply_rollout(gateway, now);
     Ok(outcome)
 }
--- a/crates/ivyweir-gateway/src/keep.rs
+++ b/crates/ivyweir-gateway/src/keep.rs
@@ -16,7 +16,7 @@
 
 use crate::client::{ANSWER_LIMIT, CallError};
 use crate::state::Gateway;
-use crate::store_client::{StoreAnswer, StoreClient};
+use crate::store_client::{StoreClient, StoreResponse};
 
 /// How often a box looks whether there is something to write.
 const ROUND: Duration = Duration::from_millis(250);
@@ -115,7 +115,7 @@
     }
 
     /// The records that can be read.
-    fn read(&self, answer: &StoreAnswer) -> Result<Vec<QuarantineRecord>, CallError> {
+    fn read(&self, answer: &StoreResponse) -> Result<Vec<QuarantineRecord>, CallError> {
         let entries = self.gateway.codec.quarantines(&answer.body);
         let mut records = Vec::new();
         for entry in entries.map_err(CallError::unreadable)? {
@@ -158,7 +158,7 @@
         }
     }
 
-    async fn call(&mut self, request: Request<Bytes>) -> Result<StoreAnswer, CallError> {
+    async fn call(&mut self, request: Request<Bytes>) -> Result<StoreResponse, CallError> {
         let answer = self.client.call(request, ANSWER_LIMIT).await;
         let outcome = if answer.is_ok() { "ok" } else { "failed" };
         let calls = &self.gateway.metrics.store_calls;
--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -17,10 +17,11 @@
 //! ```
 
 mod admit;
-mod adopt;
 mod answer;
+mod apply;
 mod attempt;
 mod box_call;
+mod buffer;
 mod channel;
 pub mod client;
 pub mod clock;
@@ -29,7 +30,6 @@
 mod duties;
 mod ends;
 mod follow;
-mod gather;
 pub mod headers;
 pub mod history;
 mod job;
@@ -43,16 +43,16 @@
 mod peers;
 mod pipeline;
 mod refusal;
+mod reports;
 mod server;
 mod settings;
 pub mod settings_file;
 mod state;
 mod store_client;
-mod store_news;
+mod store_events;
 mod stream;
 mod sync;
 mod tries;
-mod words;
 
 use std::io;
 use std::net::SocketAddr;
@@ -178,7 +178,7 @@
         tokio::spawn(duties::run(gateway.clone(), duties));
     }
     tokio::spawn(join::keep_joined(gateway.clone()));
-    tokio::spawn(words::exchange(gateway.clone()));
+    tokio::spawn(reports::exchange_reports(gateway.clone()));
     tokio::spawn(server::serve_peers(gateway.clone(), listeners.peers));
     tokio::spawn(sweep(gateway.clone()));
     let (balancer, metrics) = (listeners.balancer, listeners.metrics);
--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -31,19 +31,19 @@
 use crate::clock::Clock;
 
 /// Pauses for a box that does not answer.
-const SILENT_PAUSES: PeerBackoffConfig = PeerBackoffConfig {
+const UNRESPONSIVE_BACKOFF: PeerBackoffConfig = PeerBackoffConfig {
     initial_ms: 1_500,
     max_ms: 12_000,
 };
 /// Pauses for a box that answers but has no source of the records, this one included.
-const SOURCELESS_PAUSES: PeerBackoffConfig = PeerBackoffConfig {
+const SOURCELESS_BACKOFF: PeerBackoffConfig = PeerBackoffConfig {
     initial_ms: 600,
     max_ms: 3_000,
 };
 
 /// A sum of all boxes' work and repeats, and when it was made.
 #[derive(Debug)]
-struct FleetSum {
+struct FleetTotals {
     work: Work,
     repeats: PoolRetryCounts,
     at_ms: u64,
@@ -60,20 +60,20 @@
     others: Mutex<HashMap<Name, BoxRecord>>,
     is_settled: AtomicBool,
     /// Whether the boxes at which this one joined were young: all may have started together.
-    is_young: AtomicBool,
+    is_fleet_starting: AtomicBool,
     /// Boxes of all halls, by the last seed that answered.
     fleet_size: AtomicUsize,
     /// Counts how often boxes were found silent or sourceless.
-    shuns: watch::Sender<u64>,
-    silent: Mutex<PeerBackoff>,
+    backoffs: watch::Sender<u64>,
+    unresponsive: Mutex<PeerBackoff>,
     sourceless: Mutex<PeerBackoff>,
     /// The root that this box hears from, if it is a relay; itself if it is the root.
     root: Mutex<StickyRoot>,
-    words: Mutex<PeerReports>,
+    reports: Mutex<PeerReports>,
     /// The sum of all boxes' words that was told last.
-    fleet_sum: Mutex<Option<FleetSum>>,
+    fleet_totals: Mutex<Option<FleetTotals>>,
     /// The boxes that share what cold upstreams bear.
-    owners: Mutex<Arc<QuotaOwners>>,
+    quota_owners: Mutex<Arc<QuotaOwners>>,
     /// When this box last joined at another one.
     joined_at_ms: AtomicU64,
 }
@@ -81,22 +81,22 @@
 impl Peers {
     /// This box in this `run` of its process, and the addresses at which it joins the others.
     pub fn new(me: BoxRecord, run: u64, seeds: Vec<SocketAddr>) -> Self {
-        let owners = Mutex::new(Arc::new(owners_among(&me, &HashMap::new())));
+        let quota_owners = Mutex::new(Arc::new(quota_owners_among(&me, &HashMap::new())));
         let peers = Self {
             seeds: Mutex::default(),
             joined: Mutex::new(JoinedBoxes::new(run)),
             seed_lists: Mutex::new(SeedLists::new(me.hall.clone())),
             others: Mutex::default(),
             is_settled: AtomicBool::new(false),
-            is_young: AtomicBool::new(true),
+            is_fleet_starting: AtomicBool::new(true),
             fleet_size: AtomicUsize::new(0),
-            shuns: watch::Sender::default(),
-            silent: Mutex::new(PeerBackoff::new(SILENT_PAUSES)),
-            sourceless: Mutex::new(PeerBackoff::new(SOURCELESS_PAUSES)),
+            backoffs: watch::Sender::default(),
+            unresponsive: Mutex::new(PeerBackoff::new(UNRESPONSIVE_BACKOFF)),
+            sourceless: Mutex::new(PeerBackoff::new(SOURCELESS_BACKOFF)),
             root: Mutex::default(),
-            words: Mutex::default(),
-            fleet_sum: Mutex::default(),
-            owners,
+            reports: Mutex::default(),
+            fleet_totals: Mutex::default(),
+            quota_owners,
             joined_at_ms: AtomicU64::new(0),
             me,
         };
@@ -130,7 +130,7 @@
     }
 
     /// The address of some other box.
-    pub fn any_other(&self) -> Option<SocketAddr> {
+    pub fn random_peer(&self) -> Option<SocketAddr> {
         let others = lock(&self.others);
         let count = others.len();
         let at = (count > 0).then(|| rand::random_range(0..count))?;
@@ -139,17 +139,17 @@
 
     /// Takes in what is new on a seed's list of other boxes: none where that has not changed. [`merge`](Self::merge)
     /// follows at the end of the round.
-    pub fn take_seed_list(&self, seed: SocketAddr, news: Option<MembershipUpdate>, now_ms: u64) {
-        lock(&self.seed_lists).apply(seed, news, now_ms);
+    pub fn apply_seed_list(&self, seed: SocketAddr, update: Option<MembershipUpdate>, now_ms: u64) {
+        lock(&self.seed_lists).apply(seed, update, now_ms);
     }
 
     /// What this box has of a seed's list.
-    pub fn seed_list_mark(&self, seed: SocketAddr) -> Option<MembershipCursor> {
+    pub fn seed_list_cursor(&self, seed: SocketAddr) -> Option<MembershipCursor> {
         lock(&self.seed_lists).cursor(seed)
     }
 
     /// Takes in that a box joins here.
-    pub fn take_join(&self, record: BoxRecord, now_ms: u64) {
+    pub fn add_joined(&self, record: BoxRecord, now_ms: u64) {
         if lock(&self.joined).join(record, now_ms) {
             self.merge(now_ms);
         }
@@ -169,8 +169,8 @@
 
     /// Boxes of all halls, this one included, as far as is known.
     pub fn fleet_size(&self) -> usize {
-        let told = self.fleet_size.load(Ordering::Relaxed);
-        told.max(self.others_count() + 1)
+        let reported = self.fleet_size.load(Ordering::Relaxed);
+        reported.max(self.peer_count() + 1)
     }
 
     /// Computes the other boxes anew: some may have joined, or not joined any more.
@@ -179,21 +179,21 @@
         let joined = lock(&self.joined).list_for(&self.me.hall, now_ms);
         others.extend(joined.into_iter().map(|r| (r.name.clone(), r)));
         others.remove(&self.me.name);
-        let owners = owners_among(&self.me, &others);
+        let quota_owners = quota_owners_among(&self.me, &others);
         let mut known = lock(&self.others);
         if *known != others {
-            *lock(&self.owners) = Arc::new(owners);
+            *lock(&self.quota_owners) = Arc::new(quota_owners);
             *known = others;
         }
     }
 
     /// The boxes that share what cold upstreams bear, by the boxes known.
-    pub fn owners(&self) -> Arc<QuotaOwners> {
-        lock(&self.owners).clone()
+    pub fn quota_owners(&self) -> Arc<QuotaOwners> {
+        lock(&self.quota_owners).clone()
     }
 
     /// Takes in that this box joined at another one.
-    pub fn note_joined(&self, now_ms: u64) {
+    pub fn record_joined(&self, now_ms: u64) {
         self.joined_at_ms.store(now_ms, Ordering::Relaxed);
     }
 
@@ -214,13 +214,14 @@
     }
 
     /// Takes in whether the boxes at which this one joins started lately.
-    pub fn set_young(&self, is_young: bool) {
-        self.is_young.store(is_young, Ordering::Relaxed);
+    pub fn set_fleet_starting(&self, is_fleet_starting: bool) {
+        self.is_fleet_starting
+            .store(is_fleet_starting, Ordering::Relaxed);
     }
 
     /// Whether they did, as far as is known.
-    pub fn is_young(&self) -> bool {
-        self.is_young.load(Ordering::Relaxed)
+    pub fn is_fleet_starting(&self) -> bool {
+        self.is_fleet_starting.load(Ordering::Relaxed)
     }
 
     /// From whom this box is to hear the store's records next.
@@ -230,7 +231,7 @@
         let selector = SourceSelector {
             me: &self.me,
             others: &others,
-            is_unresponsive: |name: &str| lock(&self.silent).is_backing_off(name, now_ms),
+            is_unresponsive: |name: &str| lock(&self.unresponsive).is_backing_off(name, now_ms),
             has_no_source: |name: &str| lock(&self.sourceless).is_backing_off(name, now_ms),
             root: root.retained(now_ms),
         };
@@ -245,57 +246,57 @@
         let Some(other) = others.get(name) else {
             return false;
         };
-        let gives_way = lock(&self.root).yield_to(&self.me, other);
-        if gives_way {
-            self.note_source(name);
+        let yields = lock(&self.root).yield_to(&self.me, other);
+        if yields {
+            self.record_source(name);
         }
-        gives_way
+        yields
     }
 
     /// Whether a box is left alone for now, as it was silent or sourceless.
-    fn is_shunned(&self, name: &str, now_ms: u64) -> bool {
-        lock(&self.silent).is_backing_off(name, now_ms)
+    fn is_backing_off(&self, name: &str, now_ms: u64) -> bool {
+        lock(&self.unresponsive).is_backing_off(name, now_ms)
             || lock(&self.sourceless).is_backing_off(name, now_ms)
     }
 
     /// Takes in that a box has no source of the store's records; of this one, that the store does not
     /// answer it.
-    pub fn note_sourceless(&self, name: &Name, now_ms: u64) {
+    pub fn record_sourceless(&self, name: &Name, now_ms: u64) {
         lock(&self.sourceless).record_failure(name, now_ms);
-        self.shuns.send_modify(|count| *count += 1);
+        self.backoffs.send_modify(|count| *count += 1);
     }
 
     /// Takes in that a box has a source of the store's records; of this one, that the store answers.
-    pub fn note_source(&self, name: &str) {
+    pub fn record_source(&self, name: &str) {
         lock(&self.sourceless).record_success(name);
     }
 
     /// Takes in that a box did not answer as it should.
-    pub fn note_silent(&self, name: &Name, now_ms: u64) {
-        lock(&self.silent).record_failure(name, now_ms);
-        self.shuns.send_modify(|count| *count += 1);
+    pub fn record_unresponsive(&self, name: &Name, now_ms: u64) {
+        lock(&self.unresponsive).record_failure(name, now_ms);
+        self.backoffs.send_modify(|count| *count += 1);
     }
 
     /// Waits until a box is left alone, whichever follower or task found it silent or sourceless.
-    pub async fn until_shunned(&self, name: &Name, clock: &Clock) {
-        let mut shuns = self.shuns.subscribe();
-        while !self.is_shunned(name, clock.now_ms()) {
+    pub async fn wait_until_backing_off(&self, name: &Name, clock: &Clock) {
+        let mut backoffs = self.backoffs.subscribe();
+        while !self.is_backing_off(name, clock.now_ms()) {
             // The sender lives as long as the box's state.
-            let _changed = shuns.changed().await;
+            let _changed = backoffs.changed().await;
         }
     }
 
     /// Takes in that a box answered.
-    pub fn note_answered(&self, name: &Name) {
-        lock(&self.silent).record_success(name);
+    pub fn record_response(&self, name: &Name) {
+        lock(&self.unresponsive).record_success(name);
     }
 
     /// The relay of a hall, unless it is this box itself.
     pub fn relay(&self, hall: &str, now_ms: u64) -> Option<BoxRecord> {
         let others = lock(&self.others);
-        let silent = lock(&self.silent);
+        let unresponsive = lock(&self.unresponsive);
         let in_hall = others.values().filter(|record| &*record.hall == hall);
-        let usable = in_hall.filter(|record| !silent.is_backing_off(&record.name, now_ms));
+        let usable = in_hall.filter(|record| !unresponsive.is_backing_off(&record.name, now_ms));
         let me = (*self.me.hall == *hall).then_some(&self.me);
         let relay = relay_of(usable.chain(me))?;
         (relay.name != self.me.name).then(|| relay.clone())
@@ -319,46 +320,46 @@
     }
 
     /// Whether a word of each other hall was heard lately.
-    pub fn hears_all_halls(&self, now_ms: u64) -> bool {
-        let tellers = lock(&self.words).recent_senders(now_ms);
+    pub fn has_reports_from_all_halls(&self, now_ms: u64) -> bool {
+        let senders = lock(&self.reports).recent_senders(now_ms);
         let others = lock(&self.others);
-        let heard = tellers.iter().filter_map(|name| others.get(name));
-        let heard: HashSet<&Name> = heard.map(|record| &record.hall).collect();
+        let reported_halls = senders.iter().filter_map(|name| others.get(name));
+        let reported_halls: HashSet<&Name> = reported_halls.map(|record| &record.hall).collect();
         let mut halls = others.values().map(|record| &record.hall);
-        halls.all(|hall| *hall == self.me.hall || heard.contains(hall))
+        halls.all(|hall| *hall == self.me.hall || reported_halls.contains(hall))
     }
 
     /// Number of other boxes that this one knows.
-    pub fn others_count(&self) -> usize {
+    pub fn peer_count(&self) -> usize {
         lock(&self.others).len()
     }
 
     /// Takes in the word of a box, or of a relay for several boxes.
-    pub fn take_word(&self, from: &Name, word: PeerReport, now_ms: u64) {
-        lock(&self.words).insert(from, word, now_ms);
+    pub fn add_report(&self, from: &Name, report: PeerReport, now_ms: u64) {
+        lock(&self.reports).insert(from, report, now_ms);
     }
 
     /// The sum of the latest words of boxes other than `except`.
-    pub fn words_except(&self, except: impl Fn(&str) -> bool, now_ms: u64) -> PeerReport {
-        lock(&self.words).sum_except(except, now_ms)
+    pub fn sum_reports_except(&self, except: impl Fn(&str) -> bool, now_ms: u64) -> PeerReport {
+        lock(&self.reports).sum_except(except, now_ms)
     }
 
     /// The work and the repeats of all boxes, as far as they were told; `own` is this box's word. A sum
     /// that is younger than `max_age_ms` is told again.
-    pub fn fleet_sum(
+    pub fn fleet_totals(
         &self,
         max_age_ms: u64,
         now_ms: u64,
         own: &PeerReport,
     ) -> (Work, PoolRetryCounts) {
-        let mut known = lock(&self.fleet_sum);
+        let mut known = lock(&self.fleet_totals);
         if let Some(sum) = known.as_ref().filter(|sum| now_ms < sum.at_ms + max_age_ms) {
             return (sum.work.clone(), sum.repeats.clone());
         }
-        let (mut work, mut repeats) = lock(&self.words).work_and_retries(now_ms);
+        let (mut work, mut repeats) = lock(&self.reports).work_and_retries(now_ms);
         add_work(&mut work, &own.work);
         add_retry_counts(&mut repeats, &own.repeats);
-        *known = Some(FleetSum {
+        *known = Some(FleetTotals {
             work: work.clone(),
             repeats: repeats.clone(),
             at_ms: now_ms,
@@ -368,12 +369,12 @@
 
     /// The counts that boxes other than `except` told lately.
     pub fn tallies_except(&self, except: &str, now_ms: u64) -> HashMap<Name, Tally> {
-        lock(&self.words).tallies_except(except, now_ms)
+        lock(&self.reports).tallies_except(except, now_ms)
     }
 
     /// Boxes of this hall, this one included, as far as is known.
     pub fn hall_size(&self) -> usize {
-        self.owners().hall_size()
+        self.quota_owners().hall_size()
     }
 
     /// Where a box listens for others.
@@ -382,7 +383,7 @@
     }
 
     /// Whether a box is of this hall, as far as is known.
-    pub fn is_of_hall(&self, name: &str, hall: &str) -> bool {
+    pub fn is_in_hall(&self, name: &str, hall: &str) -> bool {
         lock(&self.others)
             .get(name)
             .is_some_and(|record| &*record.hall == hall)
@@ -390,7 +391,7 @@
 }
 
 /// The boxes among which `me` shares what cold upstreams bear.
-fn owners_among(me: &BoxRecord, others: &HashMap<Name, BoxRecord>) -> QuotaOwners {
+fn quota_owners_among(me: &BoxRecord, others: &HashMap<Name, BoxRecord>) -> QuotaOwners {
     let hash = |name: &Name| hash64(&[name.as_bytes()]);
     let of_hall = others.values().filter(|record| record.hall == me.hall);
     QuotaOwners::new(
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -12,7 +12,7 @@
 use crate::admit::admit;
 use crate::answer::AnswerBody;
 use crate::attempt::Reply;
-use crate::gather::gather;
+use crate::buffer::buffer_response;
 use crate::job::Job;
 use crate::judge::judge_head;
 use crate::log::Trace;
@@ -153,7 +153,7 @@
                 active,
             ));
         }
-        match gather(gateway, &job, reply, &mut trace).await {
+        match buffer_response(gateway, &job, reply, &mut trace).await {
             Ok(answer) => return Ok(answer),
             Err(upstream) => {
                 tries.may_have_run = true;
--- a/crates/ivyweir-gateway/src/server.rs
+++ b/crates/ivyweir-gateway/src/server.rs
@@ -18,7 +18,7 @@
 
 use crate::answer::{AnswerBody, bare, plain};
 use crate::state::Gateway;
-use crate::{follow, join, pipeline, words};
+use crate::{follow, join, pipeline, reports};
 
 /// Idle time of a caller's connection before a configuration tells it.
 const IDLE_DEFAULT_MS: u64 = 15_000;
@@ -112,9 +112,9 @@
     }
     let path = request.uri().path().to_owned();
     match path.as_str() {
-        words::WORD_PATH => words::answer(&gateway, request).await,
-        join::JOIN_PATH => join::answer(&gateway, request).await,
-        follow::FOLLOW_PATH => follow::answer(&gateway, request.uri().query()).await,
+        reports::REPORT_PATH => reports::handle(&gateway, request).await,
+        join::JOIN_PATH => join::handle(&gateway, request).await,
+        follow::FOLLOW_PATH => follow::handle(&gateway, request.uri().query()).await,
         _ => bare(StatusCode::NOT_FOUND),
     }
 }
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -47,7 +47,7 @@
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::settings::Settings;
-use crate::store_news::StoreNews;
+use crate::store_events::StoreEvents;
 
 pub use quarantine::{ReplacedWatch, Suspicion};
 pub use rollouts::counts_of;
@@ -84,7 +84,7 @@
     /// What this box passes on to others.
     pub histories: Histories,
     /// What followers of topics tell each other of the store.
-    pub store_news: StoreNews,
+    pub store_news: StoreEvents,
     store_era: Mutex<StoreEra>,
     site: Mutex<Option<Arc<SiteIndex>>>,
     proof: Mutex<FreshnessProof>,
@@ -140,7 +140,7 @@
             channels: Channels::default(),
             peers,
             histories: Histories::default(),
-            store_news: StoreNews::default(),
+            store_news: StoreEvents::default(),
             store_era: Mutex::default(),
             site: Mutex::default(),
             proof: Mutex::default(),
@@ -248,7 +248,7 @@
         let mut synced = lock(&self.synced);
         if !synced.contains(&topic) {
             synced.push(topic);
-            self.histories.tell();
+            self.histories.notify();
         }
     }
 
@@ -304,8 +304,8 @@
     pub fn woke(&self, lasted_ms: u64) {
         let detail = json!({"lasted_ms": lasted_ms, "proof_age_ms": self.proof_age_ms()});
         self.log.line("woke", detail);
-        self.store_news.store_lost();
-        self.histories.tell();
+        self.store_news.notify_store_lost();
+        self.histories.notify();
     }
 
     /// Counts a request until the returned guard is dropped.
--- a/crates/ivyweir-gateway/src/state/proof.rs
+++ b/crates/ivyweir-gateway/src/state/proof.rs
@@ -21,7 +21,7 @@
             return;
         }
         lock(&self.proof).renew(asked_at_ms);
-        self.histories.tell();
+        self.histories.notify();
     }
 
     /// When the proof dates from, by this box's clock; none if there is none.
--- a/crates/ivyweir-gateway/src/state/sending.rs
+++ b/crates/ivyweir-gateway/src/state/sending.rs
@@ -89,7 +89,7 @@
         let cold_start = site.and_then(|site| site.pool(pool)?.cold_start);
         let may_own = quota::may_own(now_ms, self.peers.since_joined_ms(now_ms));
         SendRules {
-            sharing: QuotaShare::new(self.peers.owners(), may_own, self.peers.fleet_size()),
+            sharing: QuotaShare::new(self.peers.quota_owners(), may_own, self.peers.fleet_size()),
             cold_limit: cold_start.map(|start| start.limit()),
         }
     }
--- a/crates/ivyweir-gateway/src/state/supply.rs
+++ b/crates/ivyweir-gateway/src/state/supply.rs
@@ -11,10 +11,10 @@
     /// Requests under way over all boxes, by pool; none where some hall was not heard lately.
     pub fn fleet_running(&self) -> Option<HashMap<Name, f64>> {
         let now_ms = self.clock.now_ms();
-        if !self.peers.hears_all_halls(now_ms) {
+        if !self.peers.has_reports_from_all_halls(now_ms) {
             return None;
         }
-        let mut word = self.peers.words_except(|_| false, now_ms);
+        let mut word = self.peers.sum_reports_except(|_| false, now_ms);
         word.add(&self.own_word());
         let running = word.running.into_iter();
         let running = running.map(|(pool, count)| (pool, f64::from(count)));
--- a/crates/ivyweir-gateway/src/store_client.rs
+++ b/crates/ivyweir-gateway/src/store_client.rs
@@ -12,7 +12,7 @@
 
 /// An answer of the store with its whole body.
 #[derive(Debug)]
-pub struct StoreAnswer {
+pub struct StoreResponse {
     /// The status.
     pub status: StatusCode,
     /// The whole body.
@@ -43,10 +43,10 @@
         &mut self,
         request: Request<Bytes>,
         limit: Duration,
-    ) -> Result<StoreAnswer, CallError> {
+    ) -> Result<StoreResponse, CallError> {
         let answer = self.client.call(request, limit).await?;
         let reported = self.gateway.codec.era(&answer.headers);
-        Ok(StoreAnswer {
+        Ok(StoreResponse {
             status: answer.status,
             body: answer.body,
             era: self.gateway.update_store_era(reported),
--- a/crates/ivyweir-gateway/src/sync.rs
+++ b/crates/ivyweir-gateway/src/sync.rs
@@ -2,8 +2,8 @@
 //! the store where that box does not renew the proof.
 
 mod confirm;
+mod peer;
 mod probe;
-mod relay;
 mod watch;
 
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 
 use crate::client::{CallError, Client};
 use crate::dialect::Topic;
-use crate::history::{Asker, HeardFrom};
+use crate::history::{Requester, TopicSource};
 use crate::state::Gateway;
 use crate::store_client::StoreClient;
 
 use probe::Probes;
 
 /// Pauses after the store failed a box that others follow: the first, and the longest.
-const PAUSE_FIRST_MS: u64 = 100;
-const PAUSE_MAX_MS: u64 = 600;
+const INITIAL_RETRY_MS: u64 = 100;
+const MAX_RETRY_MS: u64 = 600;
 /// How often a box without a source looks for one among the others.
-const LOOK_PAUSE: Duration = Duration::from_millis(200);
+const SOURCE_POLL: Duration = Duration::from_millis(200);
 /// How often a box that starts looks whether it knows the others.
 const SETTLE_POLL: Duration = Duration::from_millis(20);
 /// Longest wait for news after a failed call about anything but the configuration.
-const PAUSE_OTHERS: Duration = Duration::from_millis(2_500);
+const MAX_CHANGE_WAIT: Duration = Duration::from_millis(2_500);
 /// How long quiet topics are waited for; dead connections are noticed sooner by the kernel.
-const QUIET_WAIT_MS: u64 = 15_000;
+const IDLE_WATCH_MS: u64 = 15_000;
 
 /// Follows one topic for the life of the process.
 pub async fn follow(gateway: Arc<Gateway>, topic: Topic) {
@@ -43,21 +43,21 @@
     let mut follower = Follower::new(gateway, topic);
     let mut since = None;
     loop {
-        match follower.hear(since).await {
+        match follower.fetch(since).await {
             Ok(next) => since = next,
-            Err(Failed::Store) => follower.pause().await,
-            Err(Failed::Relay) => {}
-            Err(Failed::NoSource) => follower.wait_for_source().await,
+            Err(FetchError::Store) => follower.back_off().await,
+            Err(FetchError::Peer) => {}
+            Err(FetchError::NoSource) => follower.wait_for_source().await,
         }
     }
 }
 
 /// Who gave no answer.
-enum Failed {
+enum FetchError {
     /// The store.
     Store,
     /// Another box; the next question goes elsewhere at once.
-    Relay,
+    Peer,
     /// Nobody hears of the topic now.
     NoSource,
 }
@@ -74,17 +74,17 @@
     /// Whether one is under way, or a poll that follows it.
     is_probing: bool,
     /// Polls of the store that were asked of this follower and done.
-    polls: u64,
+    polls_seen: u64,
     /// How often an answer about upstreams at once had been asked for when this follower last got one, and
     /// when it last asked.
-    upstreams_given: u64,
-    upstreams_asked: u64,
+    upstreams_requests_served: u64,
+    upstreams_requests_seen: u64,
     /// Whether another box was asked before.
-    is_catching_up: bool,
+    has_left_box: bool,
     /// Whether a loss has not been followed yet by an answer about upstreams.
     is_unconfirmed: bool,
     /// How often such an answer was waited for in vain.
-    vain_waits: u32,
+    failed_waits: u32,
 }
 
 impl Follower {
@@ -97,83 +97,86 @@
                 gateway.clock.now_ms(),
             ),
             is_probing: false,
-            polls: gateway.store_news.polls(),
-            upstreams_given: gateway.store_news.upstreams_wanted(),
-            upstreams_asked: gateway.store_news.upstreams_wanted(),
-            is_catching_up: false,
+            polls_seen: gateway.store_news.poll_requests(),
+            upstreams_requests_served: gateway.store_news.upstreams_requests(),
+            upstreams_requests_seen: gateway.store_news.upstreams_requests(),
+            has_left_box: false,
             gateway,
             topic,
             failures: 0,
             is_unconfirmed: false,
-            vain_waits: 0,
+            failed_waits: 0,
         }
     }
 
     /// Whether the configuration's follower waits for an answer about upstreams that this one is to get.
-    fn is_wanted(&self) -> bool {
-        let wanted = self.gateway.store_news.upstreams_wanted();
-        self.topic == Topic::Upstreams && wanted > self.upstreams_given
+    fn is_upstreams_requested(&self) -> bool {
+        let wanted = self.gateway.store_news.upstreams_requests();
+        self.topic == Topic::Upstreams && wanted > self.upstreams_requests_served
     }
 
     /// Takes in that a question is asked now; returns whether its answer is wanted at once.
-    fn begin_question(&mut self) -> bool {
-        self.upstreams_asked = self.gateway.store_news.upstreams_wanted();
-        self.is_wanted()
+    fn begin_request(&mut self) -> bool {
+        self.upstreams_requests_seen = self.gateway.store_news.upstreams_requests();
+        self.is_upstreams_requested()
     }
 
     /// Hears of changes once; returns where to go on, or none if the topic is to be read anew.
-    async fn hear(&mut self, since: Option<Revision>) -> Result<Option<Revision>, Failed> {
+    async fn fetch(&mut self, since: Option<Revision>) -> Result<Option<Revision>, FetchError> {
         let gateway = self.gateway.clone();
         let source = gateway.peers.source(gateway.clock.now_ms());
         if source != Source::Store {
             if self.is_probe_due() {
                 return self.probe(since).await;
             }
-            if self.is_poll_asked() {
+            if self.is_poll_requested() {
                 return self.poll(since).await;
             }
         }
         gateway
             .histories
-            .set_from(self.topic, HeardFrom::of(&source));
+            .set_source(self.topic, TopicSource::of(&source));
         match source {
-            Source::Store if self.waits_for_site() => Err(Failed::NoSource),
-            Source::Store => self.hear_store(since).await,
-            Source::Relay(relay) => self.hear_box(since, relay, Asker::Follower).await,
-            Source::Root(root) => self.hear_box(since, root, Asker::Relay).await,
-            Source::Unavailable => Err(Failed::NoSource),
+            Source::Store if self.awaits_site_follower() => Err(FetchError::NoSource),
+            Source::Store => self.fetch_from_store(since).await,
+            Source::Relay(relay) => self.fetch_from_box(since, relay, Requester::Follower).await,
+            Source::Root(root) => self.fetch_from_box(since, root, Requester::Relay).await,
+            Source::Unavailable => Err(FetchError::NoSource),
         }
     }
 
     /// Whether the configuration's follower is to find that the store answers first: each call to a
     /// store that is out is paid for. On a box that has just started, callers wait for all topics.
-    fn waits_for_site(&self) -> bool {
+    fn awaits_site_follower(&self) -> bool {
         let histories = &self.gateway.histories;
         let starts = histories.is_store_untried() && !self.gateway.is_synced();
-        self.topic != Topic::Site && !histories.store_answers() && !starts
+        self.topic != Topic::Site && !histories.is_store_responsive() && !starts
     }
 
     /// Hears of changes from another box.
-    async fn hear_box(
+    async fn fetch_from_box(
         &mut self,
         since: Option<Revision>,
         other: BoxRecord,
-        asker: Asker,
-    ) -> Result<Option<Revision>, Failed> {
+        requester: Requester,
+    ) -> Result<Option<Revision>, FetchError> {
         let next = self
-            .ask_box(since.unwrap_or_default(), other, asker)
+            .query_box(since.unwrap_or_default(), other, requester)
             .await?;
         Ok(Some(next))
     }
 
     /// Hears of changes from the store.
-    async fn hear_store(&mut self, since: Option<Revision>) -> Result<Option<Revision>, Failed> {
-        self.is_catching_up = self.relay.take().is_some();
+    async fn fetch_from_store(
+        &mut self,
+        since: Option<Revision>,
+    ) -> Result<Option<Revision>, FetchError> {
+        self.has_left_box = self.relay.take().is_some();
         match since.filter(|since| self.can_watch_from(*since)) {
             None => self.list().await.map(Some),
-            Some(since) => self.ask_store(since).await,
+            Some(since) => self.watch_store(since).await,
         }
-        .map_err(|()| Failed::Store)
+        .map_err(|()| FetchError::Store)
     }
 
     /// Whether the topic can be watched from a revision instead of being listed again.
@@ -185,13 +188,13 @@
     }
 
     /// Takes in that the store answered.
-    fn succeeded(&mut self) {
+    fn record_success(&mut self) {
         self.count("ok");
         self.gateway
             .peers
-            .note_source(&self.gateway.settings.box_name);
+            .record_source(&self.gateway.settings.box_name);
         if self.is_probing && self.topic == Topic::Site {
-            self.gateway.store_news.ask_poll();
+            self.gateway.store_news.request_poll();
         }
         if self.failures > 0 {
             let detail = json!({"topic": self.topic.name(), "after_failures": self.failures});
@@ -201,12 +204,12 @@
     }
 
     /// Takes in that the store did not answer.
-    fn failed(&mut self, error: &CallError) {
+    fn record_failure(&mut self, error: &CallError) {
         self.count("failed");
         if self.topic == Topic::Site {
             let now_ms = self.gateway.clock.now_ms();
             let me = &self.gateway.settings.box_name;
-            self.gateway.peers.note_sourceless(me, now_ms);
+            self.gateway.peers.record_sourceless(me, now_ms);
         }
         if self.failures == 0 {
             let detail = json!({"topic": self.topic.name(), "error": error.to_string()});
@@ -223,14 +226,14 @@
 
     /// Waits after a failure. Only the configuration's follower tries the store again and again;
     /// the others wait for news, which its success is.
-    async fn pause(&self) {
+    async fn back_off(&self) {
         let histories = &self.gateway.histories;
         if self.topic != Topic::Site {
-            histories.until_news(PAUSE_OTHERS).await;
+            histories.wait_for_change(MAX_CHANGE_WAIT).await;
             return;
         }
         let doublings = self.failures.saturating_sub(1).min(4);
-        let pause_ms = (PAUSE_FIRST_MS << doublings).min(PAUSE_MAX_MS);
+        let pause_ms = (INITIAL_RETRY_MS << doublings).min(MAX_RETRY_MS);
         let spread_ms = rand::rng().random_range(0..=pause_ms / 2);
         sleep(Duration::from_millis(pause_ms / 2 + spread_ms)).await;
     }
@@ -239,9 +242,9 @@
     async fn wait_for_source(&self) {
         let histories = &self.gateway.histories;
         match self.topic {
-            Topic::Site => sleep(LOOK_PAUSE).await,
-            _ if self.is_wanted() => histories.until_news(LOOK_PAUSE).await,
-            _ => histories.until_news(PAUSE_OTHERS).await,
+            Topic::Site => sleep(SOURCE_POLL).await,
+            _ if self.is_upstreams_requested() => histories.wait_for_change(SOURCE_POLL).await,
+            _ => histories.wait_for_change(MAX_CHANGE_WAIT).await,
         }
     }
 }
--- a/crates/ivyweir-gateway/src/sync/confirm.rs
+++ b/crates/ivyweir-gateway/src/sync/confirm.rs
@@ -8,24 +8,24 @@
 use crate::dialect::Topic;
 
 /// How often upstreams are waited for after a loss before the store's proof is renewed without them.
-const MAX_VAIN_WAITS: u32 = 4;
+const MAX_FAILED_WAITS: u32 = 4;
 
 /// Who gave the answer that is to be confirmed.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum AnsweredBy {
+pub(super) enum ResponseSource {
     /// The store.
     Store,
     /// Another box.
-    Box {
+    Peer {
         /// Whether that box hears of the store's records itself, by the age of its proof.
-        hears: bool,
+        has_source: bool,
     },
 }
 
-impl AnsweredBy {
+impl ResponseSource {
     /// Whether the answer shows what the store holds now.
     fn is_current(self) -> bool {
-        matches!(self, Self::Store | Self::Box { hears: true })
+        matches!(self, Self::Store | Self::Peer { has_source: true })
     }
 }
 
@@ -34,11 +34,11 @@
     ///
     /// After a start or a loss it may only once the upstreams were heard of too, from the store or a box that
     /// hears it: those that left meanwhile must get no work from a box that is current otherwise.
-    pub(super) async fn confirmed(&mut self, answered_by: AnsweredBy) -> bool {
+    pub(super) async fn confirm(&mut self, source: ResponseSource) -> bool {
         if self.topic != Topic::Site {
-            if self.topic == Topic::Upstreams && answered_by.is_current() {
-                self.upstreams_given = self.upstreams_asked;
-                self.gateway.store_news.upstreams_heard();
+            if self.topic == Topic::Upstreams && source.is_current() {
+                self.upstreams_requests_served = self.upstreams_requests_seen;
+                self.gateway.store_news.notify_upstreams_received();
             }
             return false;
         }
@@ -46,43 +46,43 @@
         // young enough for keyed requests: beside 4 busy processes one of 3 runs of the suite sent work to an
         // upstream that had left.
         if !self.is_unconfirmed {
-            if self.gateway.store_news.are_upstreams_heard() {
+            if self.gateway.store_news.has_received_upstreams() {
                 return true;
             }
-            if !answered_by.is_current() {
+            if !source.is_current() {
                 return false;
             }
         }
-        let heard = self.until_upstreams_heard(answered_by).await;
-        self.vain_waits = if heard { 0 } else { self.vain_waits + 1 };
+        let heard = self.wait_for_upstreams(source).await;
+        self.failed_waits = if heard { 0 } else { self.failed_waits + 1 };
         if !heard {
-            let detail = json!({"vain_waits": self.vain_waits});
+            let detail = json!({"vain_waits": self.failed_waits});
             self.gateway.log.line("upstreams_unheard", detail);
         }
         // A store that goes on answering about one thing and not the other is left to itself; of boxes there are others,
         // and the store.
         let gives_up =
-            matches!(answered_by, AnsweredBy::Store) && self.vain_waits >= MAX_VAIN_WAITS;
+            matches!(source, ResponseSource::Store) && self.failed_waits >= MAX_FAILED_WAITS;
         self.is_unconfirmed = !heard && !gives_up;
         !self.is_unconfirmed
     }
 
     /// Waits until the upstreams are heard of, for a while; wakes whoever waits for the store's
     /// return. Returns whether they were.
-    async fn until_upstreams_heard(&self, answered_by: AnsweredBy) -> bool {
-        let mut heard = self.gateway.store_news.upstreams();
+    async fn wait_for_upstreams(&self, source: ResponseSource) -> bool {
+        let mut heard = self.gateway.store_news.subscribe_upstreams();
         // Whoever follows another box hears of upstreams only what changes, which may be nothing for a long
         // time: boxes that tried a store that was out served no keyed request for 1.5 to 4 s after its
         // return.
-        self.gateway.store_news.want_upstreams();
-        if let AnsweredBy::Store = answered_by {
-            self.gateway.histories.set_store_answers(true);
+        self.gateway.store_news.request_upstreams();
+        if let ResponseSource::Store = source {
+            self.gateway.histories.set_store_responsive(true);
             // A try of the store on its own has asked for a poll already.
             if !self.is_probing {
-                self.gateway.store_news.ask_poll();
+                self.gateway.store_news.request_poll();
             }
         }
-        self.gateway.histories.tell();
+        self.gateway.histories.notify();
         matches!(timeout(ANSWER_LIMIT, heard.changed()).await, Ok(Ok(())))
     }
 }
--- a/crates/ivyweir-gateway/src/sync/probe.rs
+++ b/crates/ivyweir-gateway/src/sync/probe.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use serde_json::json;
 
-use super::{Failed, Follower};
+use super::{FetchError, Follower};
 use crate::dialect::Topic;
 
 /// Pause before its second try, so that a box that is back in touch knows it within the three
@@ -14,7 +14,7 @@
 /// Mean pause between further tries: the first part, and that for each box known, as each call is
 /// paid for.
 const PROBE_PAUSE_MS: u64 = 2_000;
-const PROBE_PAUSE_A_BOX_MS: u64 = 100;
+const PROBE_PAUSE_PER_BOX_MS: u64 = 100;
 
 /// Tries of the store since the proof was last renewed.
 pub(super) struct Probes {
@@ -67,14 +67,14 @@
         let pause_ms = if self.count == 1 {
             SECOND_PROBE_PAUSE_MS
         } else {
-            let mean_ms = PROBE_PAUSE_MS + PROBE_PAUSE_A_BOX_MS * boxes;
+            let mean_ms = PROBE_PAUSE_MS + PROBE_PAUSE_PER_BOX_MS * boxes;
             rand::rng().random_range(mean_ms / 2..=mean_ms * 3 / 2)
         };
         self.next_at_ms = now_ms + pause_ms;
     }
 
     /// Time left until the first try is due, unless the proof is renewed before.
-    pub fn first_in_ms(&self, now_ms: u64) -> u64 {
+    pub fn until_first_ms(&self, now_ms: u64) -> u64 {
         (self.renewed_at_ms + self.unrenewed_ms).saturating_sub(now_ms)
     }
 }
@@ -96,9 +96,9 @@
     pub(super) async fn probe(
         &mut self,
         since: Option<Revision>,
-    ) -> Result<Option<Revision>, Failed> {
+    ) -> Result<Option<Revision>, FetchError> {
         let now_ms = self.gateway.clock.now_ms();
-        let boxes = self.gateway.peers.others_count() as u64;
+        let boxes = self.gateway.peers.peer_count() as u64;
         self.probes.begin(boxes, now_ms);
         let detail = json!({
             "unrenewed_ms": now_ms - self.probes.renewed_at_ms,
@@ -112,20 +112,20 @@
 
     /// Whether the configuration's follower found that the store answers, and wants the other
     /// topics to hear it once too.
-    pub(super) fn is_poll_asked(&mut self) -> bool {
-        let asked = self.gateway.store_news.polls();
-        std::mem::replace(&mut self.polls, asked) != asked && self.topic != Topic::Site
+    pub(super) fn is_poll_requested(&mut self) -> bool {
+        let asked = self.gateway.store_news.poll_requests();
+        std::mem::replace(&mut self.polls_seen, asked) != asked && self.topic != Topic::Site
     }
 
     /// Hears of changes from the store once, without waiting for any.
     pub(super) async fn poll(
         &mut self,
         since: Option<Revision>,
-    ) -> Result<Option<Revision>, Failed> {
+    ) -> Result<Option<Revision>, FetchError> {
         self.is_probing = true;
-        let heard = self.hear_store(since).await;
+        let heard = self.fetch_from_store(since).await;
         self.is_probing = false;
         // Whoever it follows is asked next, as before.
-        heard.map_err(|_| Failed::Relay)
+        heard.map_err(|_| FetchError::Peer)
     }
 }
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -9,59 +9,59 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-use super::confirm::AnsweredBy;
-use super::{Follower, QUIET_WAIT_MS};
-use crate::adopt::{ListingKind, adopt_all, adopt_changes, readable_changes};
+use super::confirm::ResponseSource;
+use super::{Follower, IDLE_WATCH_MS};
+use crate::apply::{ListingKind, apply_changes, apply_listing, readable_changes};
 use crate::client::{ANSWER_LIMIT, CallError};
 use crate::dialect::{Changes, Entry, Topic};
 use crate::state::Gateway;
-use crate::store_client::StoreAnswer;
+use crate::store_client::StoreResponse;
 
 /// How long a watch of the configuration waits. Each empty answer renews the proof that it is the
 /// newest, which must stay younger than the bound on withdrawn keys until the next one.
-const SITE_WAIT_MS: u64 = 1_200;
-const SITE_MIN_WAIT_MS: u64 = 200;
+const SITE_WATCH_MS: u64 = 1_200;
+const MIN_SITE_WATCH_MS: u64 = 200;
 /// Time beyond the wait after which a relay takes the store to be lost; a slow store takes 300 ms.
 const OVERDUE_MS: u64 = 500;
 /// Age at which the next proof must be there; it leaves a slow store some hundred milliseconds.
 const PROOF_DUE_MS: u64 = 2_300;
 /// How far a watch may lag behind what the store has acknowledged.
-const HEARD_LAG_MS: u64 = 1_000;
+const WATCH_LAG_MS: u64 = 1_000;
 /// Pause between a watch that saw changes and the next, so that changes in a row cost one call. The
 /// bounds on a configuration and on a leaving upstream are two seconds or more.
-const GATHER_MS: u64 = 300;
+const CHANGE_BATCH_MS: u64 = 300;
 /// How long a watch of upstreams waits. A call that a silent store took is never answered, and
 /// until it is given up a box does not hear who leaves.
-const UPSTREAMS_WAIT_MS: u64 = 4_000;
+const UPSTREAMS_WATCH_MS: u64 = 4_000;
 /// How long the first watches after a failure, or after another box was asked, wait.
-const AFTER_FAILURE_WAIT_MS: u64 = 50;
+const SHORT_WATCH_MS: u64 = 50;
 /// Time for the store to answer a try; a slow one takes 300 ms.
 const PROBE_LIMIT: Duration = Duration::from_millis(700);
 
 impl Follower {
     /// Lists the topic; returns the revision to watch from.
     pub(super) async fn list(&mut self) -> Result<Revision, ()> {
-        self.begin_question();
+        self.begin_request();
         let asked_at_ms = self.gateway.clock.now_ms();
         let was_settled = self.gateway.is_store_settled();
         let (entries, mut revision) = match self.read_pages().await {
             Ok(listing) => listing,
             Err(e) => {
-                self.tell_store_answers(false);
-                self.failed(&e);
+                self.publish_store_status(false);
+                self.record_failure(&e);
                 return Err(());
             }
         };
-        self.tell_store_answers(true);
-        self.succeeded();
+        self.publish_store_status(true);
+        self.record_success();
         revision.is_settled = was_settled && self.gateway.is_store_settled();
         let kind = if revision.is_settled {
             ListingKind::Complete
         } else {
             ListingKind::Incomplete
         };
-        adopt_all(&self.gateway, self.topic, revision, kind, entries);
-        if self.confirmed(AnsweredBy::Store).await {
+        apply_listing(&self.gateway, self.topic, revision, kind, entries);
+        if self.confirm(ResponseSource::Store).await {
             self.gateway.renew_proof(asked_at_ms.cast_signed());
         }
         self.gateway.set_synced(self.topic);
@@ -93,27 +93,27 @@
     }
 
     /// Watches once; returns where to go on, or none if the topic is to be listed again.
-    pub(super) async fn ask_store(&mut self, since: Revision) -> Result<Option<Revision>, ()> {
+    pub(super) async fn watch_store(&mut self, since: Revision) -> Result<Option<Revision>, ()> {
         let watched = self.watch(since).await;
-        self.tell_store_answers(watched.is_ok());
+        self.publish_store_status(watched.is_ok());
         watched
     }
 
     /// Tells boxes that follow here, and the other topics' followers, whether the store answers.
-    fn tell_store_answers(&self, answers: bool) {
+    fn publish_store_status(&self, answers: bool) {
         if self.topic != Topic::Site {
             return;
         }
-        self.gateway.histories.set_store_answers(answers);
+        self.gateway.histories.set_store_responsive(answers);
         if !answers {
-            self.gateway.store_news.store_lost();
+            self.gateway.store_news.notify_store_lost();
         }
     }
 
     async fn watch(&mut self, since: Revision) -> Result<Option<Revision>, ()> {
         let asked_at_ms = self.gateway.clock.now_ms();
-        let is_wanted = self.begin_question();
-        let wait_ms = self.wait_ms(is_wanted);
+        let is_upstreams_requested = self.begin_request();
+        let wait_ms = self.wait_ms(is_upstreams_requested);
         let request = self.gateway.codec.watch(self.topic, since.number, wait_ms);
         let mut answer = self.call_store(request, wait_ms).await;
         if self.failures == 0 && matches!(answer, Err(CallError::Lost { .. })) {
@@ -121,17 +121,17 @@
             let request = self
                 .gateway
                 .codec
-                .watch(self.topic, since.number, AFTER_FAILURE_WAIT_MS);
-            answer = self.call_store(request, AFTER_FAILURE_WAIT_MS).await;
+                .watch(self.topic, since.number, SHORT_WATCH_MS);
+            answer = self.call_store(request, SHORT_WATCH_MS).await;
         }
-        let changes = match answer.and_then(|answer| self.read(since.era, &answer)) {
+        let changes = match answer.and_then(|answer| self.decode(since.era, &answer)) {
             Ok(changes) => changes,
             Err(e) => {
-                self.failed(&e);
+                self.record_failure(&e);
                 return Err(());
             }
         };
-        self.succeeded();
+        self.record_success();
         let Some(changes) = changes else {
             let detail = json!({
                 "topic": self.topic.name(), "since": since.to_string(), "era": self.gateway.store_era(),
@@ -148,13 +148,13 @@
         let changes = changes.changes.into_iter();
         let changes = changes.map(|change| change.with_era(since.era)).collect();
         let changes = readable_changes(&self.gateway, self.topic, changes);
-        adopt_changes(&self.gateway, self.topic, revision, changes);
-        if self.confirmed(AnsweredBy::Store).await {
+        apply_changes(&self.gateway, self.topic, revision, changes);
+        if self.confirm(ResponseSource::Store).await {
             let proven_at_ms = proven_at(asked_at_ms, answered_at_ms, wait_ms, quiet);
             self.gateway.renew_proof(proven_at_ms.cast_signed());
         }
         if !quiet {
-            sleep(Duration::from_millis(GATHER_MS)).await;
+            sleep(Duration::from_millis(CHANGE_BATCH_MS)).await;
         }
         Ok(Some(revision))
     }
@@ -164,7 +164,7 @@
         &mut self,
         request: Request<Bytes>,
         wait_ms: u64,
-    ) -> Result<StoreAnswer, CallError> {
+    ) -> Result<StoreResponse, CallError> {
         let limit = if self.is_probing || self.failures > 0 {
             PROBE_LIMIT
         } else {
@@ -182,7 +182,7 @@
             // outlasts the loss that the short ones notice.
             return tokio::select! {
                 answer = call => answer,
-                () = store_news.until_store_lost() => Err(CallError::GivenUp {
+                () = store_news.wait_for_store_loss() => Err(CallError::GivenUp {
                     detail: "questions about the configuration got no answer".into(),
                 }),
             };
@@ -191,13 +191,13 @@
         if let Ok(answer) = timeout(in_time, call.as_mut()).await {
             return answer;
         }
-        histories.set_store_answers(false);
+        histories.set_store_responsive(false);
         call.await
     }
 
     /// Reads the answer to a watch from a revision of `era`; `None` if the topic must be listed again, because the store
     /// no longer has the history or answers from another era.
-    fn read(&self, era: u64, answer: &StoreAnswer) -> Result<Option<Changes>, CallError> {
+    fn decode(&self, era: u64, answer: &StoreResponse) -> Result<Option<Changes>, CallError> {
         match answer.status {
             StatusCode::GONE => Ok(None),
             // After a restore, the same revision number stands for another change.
@@ -211,9 +211,9 @@
     }
 
     /// How long a watch waits for changes: at most until the store settles, when the topic is listed again.
-    fn wait_ms(&self, is_wanted: bool) -> u64 {
+    fn wait_ms(&self, is_upstreams_requested: bool) -> u64 {
         let settles_in_ms = self.gateway.store_settles_in_ms();
-        let wait_ms = self.settled_wait_ms(is_wanted);
+        let wait_ms = self.settled_wait_ms(is_upstreams_requested);
         if settles_in_ms > 0 {
             wait_ms.min(settles_in_ms)
         } else {
@@ -222,14 +222,14 @@
     }
 
     /// How long a watch of a settled store waits for changes; not at all if an answer is wanted at once.
-    fn settled_wait_ms(&self, is_wanted: bool) -> u64 {
+    fn settled_wait_ms(&self, is_upstreams_requested: bool) -> u64 {
         match self.topic {
-            _ if is_wanted => AFTER_FAILURE_WAIT_MS,
+            _ if is_upstreams_requested => SHORT_WATCH_MS,
             // After a failure the answer itself is news, so it must not wait for changes.
-            _ if self.failures > 0 => AFTER_FAILURE_WAIT_MS,
-            _ if self.is_probing || self.is_catching_up => AFTER_FAILURE_WAIT_MS,
-            Topic::Upstreams => UPSTREAMS_WAIT_MS,
-            Topic::Rollouts => QUIET_WAIT_MS,
+            _ if self.failures > 0 => SHORT_WATCH_MS,
+            _ if self.is_probing || self.has_left_box => SHORT_WATCH_MS,
+            Topic::Upstreams => UPSTREAMS_WATCH_MS,
+            Topic::Rollouts => IDLE_WATCH_MS,
             Topic::DrainedHalls => self.gateway.settings.bounds.hall_drain_watch_ms(),
             Topic::Site => self.site_wait_ms(),
         }
@@ -240,12 +240,12 @@
         let age_ms = self.gateway.proof_age_ms().unwrap_or(PROOF_DUE_MS);
         let left_ms = PROOF_DUE_MS.saturating_sub(age_ms);
         let now_ms = self.gateway.clock.now_ms();
-        let most_ms = if self.gateway.histories.is_followed(now_ms) {
+        let most_ms = if self.gateway.histories.has_recent_followers(now_ms) {
             self.gateway.settings.bounds.root_watch_ms()
         } else {
-            SITE_WAIT_MS
+            SITE_WATCH_MS
         };
-        left_ms.min(most_ms).max(SITE_MIN_WAIT_MS)
+        left_ms.min(most_ms).max(MIN_SITE_WATCH_MS)
     }
 }
 
@@ -256,7 +256,7 @@
 fn proven_at(asked_at_ms: u64, answered_at_ms: u64, wait_ms: u64, quiet: bool) -> u64 {
     let waited = answered_at_ms.saturating_sub(asked_at_ms) >= wait_ms;
     if quiet && waited {
-        asked_at_ms + wait_ms.saturating_sub(HEARD_LAG_MS)
+        asked_at_ms + wait_ms.saturating_sub(WATCH_LAG_MS)
     } else {
         asked_at_ms
     }
--- a/crates/ivyweir-gateway/tests/histories.rs
+++ b/crates/ivyweir-gateway/tests/histories.rs
@@ -1,7 +1,9 @@
 //! What a box passes on of the store's records, and when it sends those that ask away.
 
 use ivyweir_gateway::dialect::Topic;
-use ivyweir_gateway::history::{Asker, Behind, HeardFrom, Histories, NoSource, PassedChange};
+use ivyweir_gateway::history::{
+    Backlog, Histories, RecordChange, Requester, SourceUnavailable, TopicSource,
+};
 use ivyweir_policy::gateway::revision::Revision;
 
 /// A revision of era 1.
@@ -10,9 +12,9 @@
 }
 
 /// How a box that hears the configuration from the store, and knows nothing of it yet, answers.
-fn answer(histories: &Histories, asker: Asker) -> Result<bool, NoSource> {
-    histories.set_from(Topic::Site, HeardFrom::Store);
-    let behind = histories.behind(Topic::Site, Revision::default(), asker)?;
+fn answer(histories: &Histories, asker: Requester) -> Result<bool, SourceUnavailable> {
+    histories.set_source(Topic::Site, TopicSource::Store);
+    let behind = histories.changes_since(Topic::Site, Revision::default(), asker)?;
     Ok(behind.is_some())
 }
 
@@ -22,9 +24,9 @@
         fn $name() {
             let histories = Histories::default();
             for answers in $store {
-                histories.set_store_answers(answers);
+                histories.set_store_responsive(answers);
             }
-            for asker in [Asker::Follower, Asker::Relay] {
+            for asker in [Requester::Follower, Requester::Relay] {
                 assert_eq!(answer(&histories, asker), $expected);
             }
         }
@@ -34,36 +36,36 @@
 const UNTRIED: [bool; 0] = [];
 
 answers! {
-    a_box_that_waits_for_the_first_answer_says_so: UNTRIED => Err(NoSource::NotYet);
+    a_box_that_waits_for_the_first_answer_says_so: UNTRIED => Err(SourceUnavailable::Pending);
     a_box_that_the_store_answers_is_a_source: [true] => Ok(false);
-    a_box_that_the_store_does_not_answer_sends_away: [false] => Err(NoSource::ForNow);
-    a_box_that_lost_the_store_sends_away: [true, false] => Err(NoSource::ForNow);
+    a_box_that_the_store_does_not_answer_sends_away: [false] => Err(SourceUnavailable::Searching);
+    a_box_that_lost_the_store_sends_away: [true, false] => Err(SourceUnavailable::Searching);
     a_box_that_regained_the_store_is_a_source: [false, true] => Ok(false);
 }
 
 #[test]
 fn who_knows_nothing_gets_what_was_last_heard() {
     let histories = Histories::default();
-    histories.set_from(Topic::Site, HeardFrom::Store);
-    histories.restart(Topic::Site, rev(7));
-    histories.set_store_answers(false);
-    let behind = histories.behind(Topic::Site, Revision::default(), Asker::Relay);
-    assert!(matches!(behind, Ok(Some(Behind::Whole(revision))) if revision == rev(7)));
+    histories.set_source(Topic::Site, TopicSource::Store);
+    histories.reset(Topic::Site, rev(7));
+    histories.set_store_responsive(false);
+    let behind = histories.changes_since(Topic::Site, Revision::default(), Requester::Relay);
+    assert!(matches!(behind, Ok(Some(Backlog::Snapshot(revision))) if revision == rev(7)));
 }
 
 /// Changes that a follower is told while `records` upstreams register, so many at a time; none where it is told to get
 /// everything.
 fn told(records: usize, at_a_time: usize) -> Option<usize> {
     let histories = Histories::default();
-    histories.set_from(Topic::Upstreams, HeardFrom::Store);
-    histories.set_store_answers(true);
-    histories.restart(Topic::Upstreams, rev(1));
+    histories.set_source(Topic::Upstreams, TopicSource::Store);
+    histories.set_store_responsive(true);
+    histories.reset(Topic::Upstreams, rev(1));
     let (mut since, mut told) = (1, 0);
     for known in (at_a_time..=records).step_by(at_a_time) {
-        let changes = (0..at_a_time).map(|n| PassedChange::Gone(format!("u{n}").into()));
-        histories.push(Topic::Upstreams, rev(since + 1), changes.collect(), known);
-        match histories.behind(Topic::Upstreams, rev(since), Asker::Follower) {
-            Ok(Some(Behind::Changes(revision, changes))) => {
+        let changes = (0..at_a_time).map(|n| RecordChange::Deleted(format!("u{n}").into()));
+        histories.append(Topic::Upstreams, rev(since + 1), changes.collect(), known);
+        match histories.changes_since(Topic::Upstreams, rev(since), Requester::Follower) {
+            Ok(Some(Backlog::Changes(revision, changes))) => {
                 told += changes.len();
                 since = revision.number;
             }
@@ -86,16 +88,16 @@
 #[test]
 fn who_is_further_behind_than_there_are_records_gets_everything() {
     let histories = Histories::default();
-    histories.set_from(Topic::Upstreams, HeardFrom::Store);
-    histories.set_store_answers(true);
-    histories.restart(Topic::Upstreams, rev(1));
+    histories.set_source(Topic::Upstreams, TopicSource::Store);
+    histories.set_store_responsive(true);
+    histories.reset(Topic::Upstreams, rev(1));
     for revision in 2..=1_002 {
-        let gone = vec![PassedChange::Gone("u".into())];
-        histories.push(Topic::Upstreams, rev(revision), gone, 400);
+        let gone = vec![RecordChange::Deleted("u".into())];
+        histories.append(Topic::Upstreams, rev(revision), gone, 400);
     }
-    let behind = |since| histories.behind(Topic::Upstreams, rev(since), Asker::Follower);
-    assert!(matches!(behind(500), Ok(Some(Behind::Whole(revision))) if revision == rev(1_002)));
-    let Ok(Some(Behind::Changes(revision, changes))) = behind(700) else {
+    let behind = |since| histories.changes_since(Topic::Upstreams, rev(since), Requester::Follower);
+    assert!(matches!(behind(500), Ok(Some(Backlog::Snapshot(revision))) if revision == rev(1_002)));
+    let Ok(Some(Backlog::Changes(revision, changes))) = behind(700) else {
         panic!("the changes are kept");
     };
     assert_eq!(revision, rev(1_002));
@@ -104,27 +106,29 @@
 
 /// What a box that knows the upstreams up to `since` gets from a box that listed a restored store at revision 2.16 and
 /// received one change since.
-fn behind_after_restore(since: Revision) -> Option<Behind> {
+fn behind_after_restore(since: Revision) -> Option<Backlog> {
     let histories = Histories::default();
-    histories.set_from(Topic::Upstreams, HeardFrom::Store);
-    histories.set_store_answers(true);
-    histories.restart(Topic::Upstreams, Revision::new(2, 16));
-    let gone = vec![PassedChange::Gone("u".into())];
-    histories.push(Topic::Upstreams, Revision::new(2, 17), gone, 1);
-    let behind = histories.behind(Topic::Upstreams, since, Asker::Follower);
+    histories.set_source(Topic::Upstreams, TopicSource::Store);
+    histories.set_store_responsive(true);
+    histories.reset(Topic::Upstreams, Revision::new(2, 16));
+    let gone = vec![RecordChange::Deleted("u".into())];
+    histories.append(Topic::Upstreams, Revision::new(2, 17), gone, 1);
+    let behind = histories.changes_since(Topic::Upstreams, since, Requester::Follower);
     behind.expect("a source")
 }
 
 #[test]
 fn a_box_from_an_earlier_era_gets_all_records() {
     let behind = behind_after_restore(Revision::new(1, 24));
-    assert!(matches!(behind, Some(Behind::Whole(revision)) if revision == Revision::new(2, 17)));
+    assert!(
+        matches!(behind, Some(Backlog::Snapshot(revision)) if revision == Revision::new(2, 17))
+    );
 }
 
 #[test]
 fn a_box_from_the_same_era_gets_changes() {
     let behind = behind_after_restore(Revision::new(2, 16));
-    assert!(matches!(behind, Some(Behind::Changes(_, changes)) if changes.len() == 1));
+    assert!(matches!(behind, Some(Backlog::Changes(_, changes)) if changes.len() == 1));
 }
 
 #[test]
