--- a/crates/ivyweir-gateway/src/apply.rs
+++ b/crates/ivyweir-gateway/src/apply.rs
@@ -1,5 +1,5 @@
-//! Takes in records that the store, or another box, told of, and keeps them for boxes that follow
-//! here.
+//! Applies records received from the store or from another box, and records the changes for the
+//! boxes that follow this one.
 
 use std::collections::HashSet;
 
@@ -24,7 +24,7 @@
     Incomplete,
 }
 
-/// Adopts the records that a topic listing contains as of a revision.
+/// Applies a topic listing as of a revision.
 pub fn apply_listing(
     gateway: &Gateway,
     topic: Topic,
@@ -53,7 +53,7 @@
         });
         return;
     }
-    // A record that cannot be read may be one of those that are missing.
+    // An unreadable record may be one of those that seem to be missing.
     if items.len() == listed && kind == ListingKind::Complete {
         remove_unlisted(gateway, topic, &items);
     }
@@ -62,7 +62,8 @@
     }
 }
 
-/// Forgets roll-outs and drained halls that a whole listing lacks: they were withdrawn unheard.
+/// Removes roll-outs and drained halls that a complete listing lacks. They were withdrawn while
+/// this box received no changes.
 fn remove_unlisted(gateway: &Gateway, topic: Topic, listed: &[Item]) {
     let known: Vec<Name> = match topic {
         Topic::Rollouts => gateway.with_rollouts(|rollouts, _| rollouts.keys().cloned().collect()),
@@ -75,7 +76,8 @@
     }
 }
 
-/// The records that can be read; the others are those of a whole listing.
+/// Returns the readable records, and replaces the topic's list of unreadable ones. `entries` must
+/// be a listing of the topic.
 fn readable_entries(gateway: &Gateway, topic: Topic, entries: Vec<Entry>) -> Vec<Item> {
     let mut items = Vec::new();
     let mut unreadable = Vec::new();
@@ -89,8 +91,8 @@
     items
 }
 
-/// The changes that can be read. An upstream's record that cannot be read any more names nobody, as one that is
-/// gone; of every other topic what was known before holds.
+/// Returns the readable changes. An unreadable upstream record counts as deleted; in every other
+/// topic the last readable record stays in force.
 pub fn readable_changes(
     gateway: &Gateway,
     topic: Topic,
@@ -114,7 +116,7 @@
     changes.into_iter().filter_map(read).collect()
 }
 
-/// Takes in changes of a topic, up to a revision.
+/// Applies changes of a topic, up to a revision.
 pub fn apply_changes(
     gateway: &Gateway,
     topic: Topic,
@@ -143,7 +145,7 @@
     }
 }
 
-/// Takes in that the record of this name is gone.
+/// Applies the deletion of a record.
 fn remove(gateway: &Gateway, topic: Topic, name: &Name) {
     match topic {
         Topic::Upstreams => gateway.change_upstream(Source::Record, |fleet, now_ms| {
@@ -156,12 +158,12 @@
             gateway.log.line("rollout_withdrawn", detail);
         }
         Topic::DrainedHalls => gateway.undrain_hall(name),
-        // A configuration is replaced, never taken away.
+        // The configuration is only ever replaced, so its deletion is logged and otherwise ignored.
         Topic::Site => gateway.log.line("site_removed", json!({"name": name})),
     }
 }
 
-/// Takes in a roll-out's record.
+/// Applies a roll-out record.
 pub fn apply_rollout(gateway: &Gateway, order: RolloutOrder) {
     let detail = json!({
         "pool": order.pool, "target_version": order.target_version,
--- a/crates/ivyweir-gateway/src/buffer.rs
+++ b/crates/ivyweir-gateway/src/buffer.rs
@@ -1,4 +1,4 @@
-//! Reads an answer that is no stream as a whole before it is passed on.
+//! Buffers a response that is not a stream before it is passed on.
 
 use std::time::Duration;
 
@@ -16,10 +16,14 @@
 use crate::refusal::Reason;
 use crate::state::Gateway;
 
-/// Largest answer that is gathered before it is passed on.
+/// Largest response body that is buffered.
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
 
-/// Reads a whole answer and passes it on; gives the upstream where it broke off.
+/// Reads a response completely and passes it on.
+///
+/// # Errors
+///
+/// Returns the upstream's name if the response is not received completely.
 pub async fn buffer_response(
     gateway: &Gateway,
     job: &Job,
@@ -76,7 +80,8 @@
     } else {
         trace.step("answered", detail);
     }
-    // Only an upstream's own word makes 429, 503 and the like true; it was heard before.
+    // Statuses such as 429 and 503 tell the caller that the request was not run. Only the
+    // upstream's own statement establishes that, and it was evaluated earlier.
     if is_not_run_status(head.status.as_u16()) {
         return Ok(Reason::AnswerLost.into_answer(false));
     }
--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -91,10 +91,10 @@
 
 impl FollowResponse {
     /// When the proof dates from by the clock of the box that asked at `asked_at_ms`; none if there is none.
-    pub fn proven_at_ms(&self, received_at_ms: u64, now_ms: u64) -> Option<i64> {
+    pub fn proven_at_ms(&self, requested_at_ms: u64, now_ms: u64) -> Option<i64> {
         let age_ms = i64::try_from(self.proof_age_ms?).unwrap_or(i64::MAX);
         // The answer came no sooner than it says, so its proof is no older than this.
-        let answered_at_ms = received_at_ms.saturating_add(self.held_ms).min(now_ms);
+        let answered_at_ms = requested_at_ms.saturating_add(self.held_ms).min(now_ms);
         Some(answered_at_ms.cast_signed().saturating_sub(age_ms))
     }
 }
@@ -109,7 +109,7 @@
     histories.record_request(received_at_ms);
     histories.record_copy_progress(request.topic, request.since, &request.from);
     let until_ms = received_at_ms + request.wait_ms;
-    let mut changes = histories.subscribe();
+    let mut updates = histories.subscribe();
     let proof_at_ms = gateway.proof_at_ms();
     let mut sourceless_since_ms = None;
     loop {
@@ -144,7 +144,7 @@
         };
         let left = Duration::from_millis(wake_ms - now_ms);
         // Woken or not, the state itself is looked at again.
-        let _woken = timeout(left, changes.changed()).await;
+        let _woken = timeout(left, updates.changed()).await;
     }
 }
 
--- a/crates/ivyweir-gateway/src/join.rs
+++ b/crates/ivyweir-gateway/src/join.rs
@@ -1,5 +1,5 @@
-//! Joins the other boxes: sends this box's record to a seed, again and again, and gets its list of
-//! the others.
+//! Membership: periodically sends this box's record to a seed and receives the seed's list of other
+//! boxes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,45 +19,45 @@
 use crate::client::Client;
 use crate::state::Gateway;
 
-/// Where boxes join.
+/// HTTP path for joining.
 pub const JOIN_PATH: &str = "/peer/join";
-/// Pauses between the first rounds: all boxes may start within 0.3 s of each other.
+/// Intervals between the first joins; all boxes may start within 0.3 s of each other.
 const INITIAL_INTERVALS_MS: [u64; 7] = [40, 40, 60, 150, 300, 500, 1_000];
-/// Pause between later rounds.
+/// Interval between later joins.
 const JOIN_INTERVAL_MS: u64 = 2_000;
-/// Time for a connection to a seed to come up while this box starts: where all boxes lost power, a seed
-/// that is not back yet says nothing, and the opening packet would be sent again after a second.
+/// Connection timeout while this box starts. After a power loss on all boxes, a seed that is not
+/// back yet does not answer, and the SYN would be retransmitted only after a second.
 const STARTUP_CONNECT_LIMIT: Duration = Duration::from_millis(60);
-/// Time for a seed to answer.
+/// Response timeout of a seed.
 const ANSWER_LIMIT: Duration = Duration::from_millis(400);
-/// Largest message.
+/// Maximum size of a join request.
 const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
-/// A box that joins, to a seed.
+/// The request by which a box joins at a seed.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JoinRequest {
     from: BoxRecord,
-    /// What the box has of the seed's list.
+    /// The state of the seed's list that the box already has.
     #[serde(default, rename = "has", skip_serializing_if = "Option::is_none")]
     cursor: Option<MembershipCursor>,
 }
 
-/// A seed's answer.
+/// A seed's response to a join.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JoinResponse {
-    /// What is new on the list of boxes, where that is not the last one.
+    /// Changes of the list of boxes; `None` if it is unchanged.
     #[serde(default, rename = "news", skip_serializing_if = "Option::is_none")]
     update: Option<MembershipUpdate>,
-    /// Time since the seed's start.
+    /// Uptime of the seed.
     up_ms: u64,
-    /// Boxes of all halls that joined there lately, itself included.
+    /// Number of boxes of all halls that joined at the seed recently, including itself.
     fleet_size: usize,
     /// Time until a restored store has settled; `None` if it has. A box that starts cannot detect an earlier restore.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     store_settles_in_ms: Option<u64>,
 }
 
-/// Joins again and again for the life of the process.
+/// Joins periodically for the lifetime of the process.
 pub async fn keep_joined(gateway: Arc<Gateway>) {
     let mut joiner = Joiner {
         gateway,
@@ -82,8 +82,8 @@
 }
 
 impl Joiner {
-    /// Joins at the seed whose turn it is, or at another box if that does not answer; returns how
-    /// long the one that answered has been up.
+    /// Joins at the next seed in turn, or at another one if it does not answer. Reloads the seeds
+    /// and tries a known box if no seed answers. Returns the uptime of the box that answered.
     async fn join_one(&mut self) -> Option<u64> {
         let seeds = self.gateway.peers.seeds();
         self.round += 1;
@@ -132,7 +132,8 @@
         Some(answer.up_ms)
     }
 
-    /// Decides whether the list of boxes is good enough to choose a relay by.
+    /// Updates whether the fleet is starting, and whether the list of boxes is complete enough to
+    /// choose a relay.
     fn update_membership_state(&self, seed_up_ms: Option<u64>) {
         let start = Uptimes {
             up_ms: self.gateway.clock.now_ms(),
@@ -154,7 +155,7 @@
     }
 }
 
-/// Answers a box that joins here.
+/// Handles a join request.
 pub async fn handle(gateway: &Gateway, request: Request<Incoming>) -> Response<AnswerBody> {
     let message = box_call::read_message::<JoinRequest>(request, MAX_MESSAGE_BYTES);
     let Some(message) = message.await else {
--- a/crates/ivyweir-gateway/src/reports.rs
+++ b/crates/ivyweir-gateway/src/reports.rs
@@ -37,7 +37,7 @@
 /// message of its own.
 const MIN_EXCHANGE_PAUSE: Duration = Duration::from_millis(50);
 /// Age up to which a relay tells the same sum of all boxes' words again.
-const FLEET_SUM_MAX_AGE_MS: u64 = 100;
+const FLEET_TOTALS_MAX_AGE_MS: u64 = 100;
 /// Time for another box to answer.
 const RESPONSE_LIMIT: Duration = Duration::from_millis(400);
 /// The same while boxes start together. Relays then pass on whole lists, and seeds answer everybody: behind a
@@ -82,8 +82,8 @@
 
 /// Time between a box's words, by the number of boxes in its hall.
 fn exchange_interval(boxes: u64) -> Duration {
-    let round_ms = EXCHANGE_INTERVAL_MS * boxes.max(BASE_INTERVAL_BOXES) / BASE_INTERVAL_BOXES;
-    Duration::from_millis(round_ms.min(MAX_EXCHANGE_INTERVAL_MS))
+    let interval_ms = EXCHANGE_INTERVAL_MS * boxes.max(BASE_INTERVAL_BOXES) / BASE_INTERVAL_BOXES;
+    Duration::from_millis(interval_ms.min(MAX_EXCHANGE_INTERVAL_MS))
 }
 
 /// Tells relays of other halls this hall's word.
@@ -180,7 +180,7 @@
     let own = gateway.own_word();
     let (work, repeats) = gateway
         .peers
-        .fleet_totals(FLEET_SUM_MAX_AGE_MS, now_ms, &own);
+        .fleet_totals(FLEET_TOTALS_MAX_AGE_MS, now_ms, &own);
     let mut tallies = gateway.peers.tallies_except(sender, now_ms);
     add_tallies(&mut tallies, &own.tallies);
     PeerReport {
--- a/crates/ivyweir-gateway/src/store_events.rs
+++ b/crates/ivyweir-gateway/src/store_events.rs
@@ -1,8 +1,8 @@
-//! News of the store that the followers of topics have for each other.
+//! Events that the followers of the store's topics exchange within this process.
 
 use tokio::sync::watch;
 
-/// Counts of what happened; followers wait for the next time.
+/// Event counters; each follower waits for a counter to increase.
 #[derive(Debug, Default)]
 pub struct StoreEvents {
     store_losses: watch::Sender<u64>,
@@ -12,65 +12,66 @@
 }
 
 impl StoreEvents {
-    /// Takes in that the store did not answer a question about the configuration.
+    /// Signals that the store did not answer a request about the configuration.
     pub fn notify_store_lost(&self) {
         self.store_losses.send_modify(|count| *count += 1);
     }
 
-    /// Waits until the store does not answer such a question.
+    /// Waits for the next such failure.
     pub async fn wait_for_store_loss(&self) {
         wait_for_increment(&self.store_losses).await;
     }
 
-    /// Takes in that an answer about upstreams was adopted, from the store or a box that hears it.
+    /// Signals that a response about upstreams was applied, from the store or from a box that
+    /// receives its records.
     pub fn notify_upstreams_received(&self) {
         self.upstreams_received.send_modify(|count| *count += 1);
     }
 
-    /// Whether one was adopted since this box started.
+    /// Whether such a response was applied since this box started.
     pub fn has_received_upstreams(&self) -> bool {
         *self.upstreams_received.borrow() > 0
     }
 
-    /// Tells from now on of each answer about upstreams that was adopted.
+    /// Subscribes to the responses about upstreams that are applied.
     pub fn subscribe_upstreams(&self) -> watch::Receiver<u64> {
         self.upstreams_received.subscribe()
     }
 
-    /// Asks the other topics' followers to hear the store once.
+    /// Requests that the followers of the other topics poll the store once.
     pub fn request_poll(&self) {
         self.poll_requests.send_modify(|count| *count += 1);
     }
 
-    /// How often that was asked.
+    /// Number of requests so far.
     pub fn poll_requests(&self) -> u64 {
         *self.poll_requests.borrow()
     }
 
-    /// Asks for an answer about upstreams at once, whether anything changed or not.
+    /// Requests an immediate response about upstreams, whether or not anything changed.
     pub fn request_upstreams(&self) {
         self.upstreams_requests.send_modify(|count| *count += 1);
     }
 
-    /// How often that was asked.
+    /// Number of requests so far.
     pub fn upstreams_requests(&self) -> u64 {
         *self.upstreams_requests.borrow()
     }
 
-    /// Waits until it was asked more often than `count` times.
+    /// Waits until the number of requests exceeds `count`.
     pub async fn wait_for_upstreams_request(&self, count: u64) {
         let mut requests = self.upstreams_requests.subscribe();
         // The sender is borrowed for the wait, so it cannot be gone.
         let _requested = requests.wait_for(|requested| *requested > count).await;
     }
 
-    /// Waits until it is asked.
+    /// Waits for the next poll request.
     pub async fn wait_for_poll_request(&self) {
         wait_for_increment(&self.poll_requests).await;
     }
 }
 
-/// Waits until a count goes up.
+/// Waits until a counter increases.
 async fn wait_for_increment(count: &watch::Sender<u64>) {
     let mut counts = count.subscribe();
     // The sender is borrowed for the wait, so it cannot be gone.
--- a/crates/ivyweir-gateway/src/sync.rs
+++ b/crates/ivyweir-gateway/src/sync.rs
@@ -65,7 +65,7 @@
 struct Follower {
     client: StoreClient,
     /// The connection to the box that is asked.
-    relay: Option<(BoxRecord, Client)>,
+    connection: Option<(BoxRecord, Client)>,
     gateway: Arc<Gateway>,
     topic: Topic,
     failures: u32,
@@ -80,7 +80,7 @@
     upstreams_requests_served: u64,
     upstreams_requests_seen: u64,
     /// Whether another box was asked before.
-    has_left_box: bool,
+    has_switched_to_store: bool,
     /// Whether a loss has not been followed yet by an answer about upstreams.
     is_unconfirmed: bool,
     /// How often such an answer was waited for in vain.
@@ -91,7 +91,7 @@
     fn new(gateway: Arc<Gateway>, topic: Topic) -> Self {
         Self {
             client: StoreClient::new(gateway.clone()),
-            relay: None,
+            connection: None,
             probes: Probes::new(
                 gateway.settings.bounds.unrenewed_ms(),
                 gateway.clock.now_ms(),
@@ -100,7 +100,7 @@
             polls_seen: gateway.store_news.poll_requests(),
             upstreams_requests_served: gateway.store_news.upstreams_requests(),
             upstreams_requests_seen: gateway.store_news.upstreams_requests(),
-            has_left_box: false,
+            has_switched_to_store: false,
             gateway,
             topic,
             failures: 0,
@@ -111,11 +111,11 @@
 
     /// Whether the configuration's follower waits for an answer about upstreams that this one is to get.
     fn is_upstreams_requested(&self) -> bool {
-        let wanted = self.gateway.store_news.upstreams_requests();
-        self.topic == Topic::Upstreams && wanted > self.upstreams_requests_served
+        let requested = self.gateway.store_news.upstreams_requests();
+        self.topic == Topic::Upstreams && requested > self.upstreams_requests_served
     }
 
-    /// Takes in that a question is asked now; returns whether its answer is wanted at once.
+    /// Takes in that a question is asked now; returns whether its answer is requested at once.
     fn begin_request(&mut self) -> bool {
         self.upstreams_requests_seen = self.gateway.store_news.upstreams_requests();
         self.is_upstreams_requested()
@@ -171,7 +171,7 @@
         &mut self,
         since: Option<Revision>,
     ) -> Result<Option<Revision>, FetchError> {
-        self.has_left_box = self.relay.take().is_some();
+        self.has_switched_to_store = self.connection.take().is_some();
         match since.filter(|since| self.can_watch_from(*since)) {
             None => self.list().await.map(Some),
             Some(since) => self.watch_store(since).await,
--- a/crates/ivyweir-gateway/src/sync/confirm.rs
+++ b/crates/ivyweir-gateway/src/sync/confirm.rs
@@ -1,4 +1,4 @@
-//! Renewing the proof after a loss: only once the upstreams were heard of too.
+//! Renewing the proof after a loss: only once the upstreams were received of too.
 
 use serde_json::json;
 use tokio::time::timeout;
@@ -32,7 +32,7 @@
 impl Follower {
     /// Follows the adoption of an answer; returns whether it may renew the proof.
     ///
-    /// After a start or a loss it may only once the upstreams were heard of too, from the store or a box that
+    /// After a start or a loss it may only once the upstreams were received of too, from the store or a box that
     /// hears it: those that left meanwhile must get no work from a box that is current otherwise.
     pub(super) async fn confirm(&mut self, source: ResponseSource) -> bool {
         if self.topic != Topic::Site {
@@ -53,9 +53,9 @@
                 return false;
             }
         }
-        let heard = self.wait_for_upstreams(source).await;
-        self.failed_waits = if heard { 0 } else { self.failed_waits + 1 };
-        if !heard {
+        let received = self.wait_for_upstreams(source).await;
+        self.failed_waits = if received { 0 } else { self.failed_waits + 1 };
+        if !received {
             let detail = json!({"vain_waits": self.failed_waits});
             self.gateway.log.line("upstreams_unheard", detail);
         }
@@ -63,14 +63,14 @@
         // and the store.
         let gives_up =
             matches!(source, ResponseSource::Store) && self.failed_waits >= MAX_FAILED_WAITS;
-        self.is_unconfirmed = !heard && !gives_up;
+        self.is_unconfirmed = !received && !gives_up;
         !self.is_unconfirmed
     }
 
-    /// Waits until the upstreams are heard of, for a while; wakes whoever waits for the store's
+    /// Waits until the upstreams are received of, for a while; wakes whoever waits for the store's
     /// return. Returns whether they were.
     async fn wait_for_upstreams(&self, source: ResponseSource) -> bool {
-        let mut heard = self.gateway.store_news.subscribe_upstreams();
+        let mut received = self.gateway.store_news.subscribe_upstreams();
         // Whoever follows another box hears of upstreams only what changes, which may be nothing for a long
         // time: boxes that tried a store that was out served no keyed request for 1.5 to 4 s after its
         // return.
@@ -83,6 +83,6 @@
             }
         }
         self.gateway.histories.notify();
-        matches!(timeout(ANSWER_LIMIT, heard.changed()).await, Ok(Ok(())))
+        matches!(timeout(ANSWER_LIMIT, received.changed()).await, Ok(Ok(())))
     }
 }
--- a/crates/ivyweir-gateway/src/sync/peer.rs
+++ b/crates/ivyweir-gateway/src/sync/peer.rs
@@ -64,7 +64,7 @@
 
     /// Takes in that the box that was asked did not answer as it should.
     fn report_unresponsive(&mut self, relay: &BoxRecord, error: &BoxCallError) -> FetchError {
-        self.relay = None;
+        self.connection = None;
         let now_ms = self.gateway.clock.now_ms();
         self.gateway.peers.record_unresponsive(&relay.name, now_ms);
         let error = error.to_string();
@@ -114,11 +114,11 @@
     ) -> Result<Result<Answer, CallError>, FetchError> {
         let is_upstreams_requested = self.begin_request();
         let wait_ms = self.box_wait_ms(is_upstreams_requested);
-        let wanted = self.upstreams_requests_seen;
+        let requested = self.upstreams_requests_seen;
         let me = &self.gateway.settings.box_name;
         let path = follow_path(self.topic, since, wait_ms, requester, me);
         let request = question(relay.peer_addr, &path);
-        let client = match &mut self.relay {
+        let client = match &mut self.connection {
             Some((known, client)) if known == relay => client,
             other => {
                 let client = Client::new(relay.peer_addr);
@@ -135,10 +135,10 @@
         tokio::select! {
             answer = client.call(request, limit) => return Ok(answer),
             () = self.gateway.peers.wait_until_backing_off(&relay.name, &self.gateway.clock) => {}
-            () = store_news.wait_for_upstreams_request(wanted), if self.topic == Topic::Upstreams => {}
+            () = store_news.wait_for_upstreams_request(requested), if self.topic == Topic::Upstreams => {}
             () = store_news.wait_for_poll_request(), if self.topic != Topic::Site => {}
         }
-        self.relay = None;
+        self.connection = None;
         Err(FetchError::Peer)
     }
 
@@ -219,12 +219,12 @@
             return true;
         }
         let histories = &self.gateway.histories;
-        let mut news = histories.subscribe();
+        let mut updates = histories.subscribe();
         let is_known = || last_change_revision.is_some_and(|at| histories.revision(topic) >= at);
         let known = async {
             while !is_known() {
                 // The sender lives as long as the box's state.
-                let _changed = news.changed().await;
+                let _changed = updates.changed().await;
             }
         };
         timeout(PROPAGATION_LIMIT, known).await.is_ok()
--- a/crates/ivyweir-gateway/src/sync/probe.rs
+++ b/crates/ivyweir-gateway/src/sync/probe.rs
@@ -113,8 +113,8 @@
     /// Whether the configuration's follower found that the store answers, and wants the other
     /// topics to hear it once too.
     pub(super) fn is_poll_requested(&mut self) -> bool {
-        let asked = self.gateway.store_news.poll_requests();
-        std::mem::replace(&mut self.polls_seen, asked) != asked && self.topic != Topic::Site
+        let requests = self.gateway.store_news.poll_requests();
+        std::mem::replace(&mut self.polls_seen, requests) != requests && self.topic != Topic::Site
     }
 
     /// Hears of changes from the store once, without waiting for any.
@@ -123,9 +123,9 @@
         since: Option<Revision>,
     ) -> Result<Option<Revision>, FetchError> {
         self.is_probing = true;
-        let heard = self.fetch_from_store(since).await;
+        let result = self.fetch_from_store(since).await;
         self.is_probing = false;
-        // Whoever it follows is asked next, as before.
-        heard.map_err(|_| FetchError::Peer)
+        // Whoever it follows is requests next, as before.
+        result.map_err(|_| FetchError::Peer)
     }
 }
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -100,12 +100,12 @@
     }
 
     /// Tells boxes that follow here, and the other topics' followers, whether the store answers.
-    fn publish_store_status(&self, answers: bool) {
+    fn publish_store_status(&self, is_responsive: bool) {
         if self.topic != Topic::Site {
             return;
         }
-        self.gateway.histories.set_store_responsive(answers);
-        if !answers {
+        self.gateway.histories.set_store_responsive(is_responsive);
+        if !is_responsive {
             self.gateway.store_news.notify_store_lost();
         }
     }
@@ -143,17 +143,17 @@
             number: changes.revision,
             ..since
         };
-        let quiet = changes.changes.is_empty();
+        let is_empty = changes.changes.is_empty();
         let answered_at_ms = self.gateway.clock.now_ms();
         let changes = changes.changes.into_iter();
         let changes = changes.map(|change| change.with_era(since.era)).collect();
         let changes = readable_changes(&self.gateway, self.topic, changes);
         apply_changes(&self.gateway, self.topic, revision, changes);
         if self.confirm(ResponseSource::Store).await {
-            let proven_at_ms = proven_at(asked_at_ms, answered_at_ms, wait_ms, quiet);
+            let proven_at_ms = proven_at(asked_at_ms, answered_at_ms, wait_ms, is_empty);
             self.gateway.renew_proof(proven_at_ms.cast_signed());
         }
-        if !quiet {
+        if !is_empty {
             sleep(Duration::from_millis(CHANGE_BATCH_MS)).await;
         }
         Ok(Some(revision))
@@ -183,7 +183,7 @@
             return tokio::select! {
                 answer = call => answer,
                 () = store_news.wait_for_store_loss() => Err(CallError::GivenUp {
-                    detail: "questions about the configuration got no answer".into(),
+                    detail: "the store did not answer a configuration request".into(),
                 }),
             };
         }
@@ -227,7 +227,7 @@
             _ if is_upstreams_requested => SHORT_WATCH_MS,
             // After a failure the answer itself is news, so it must not wait for changes.
             _ if self.failures > 0 => SHORT_WATCH_MS,
-            _ if self.is_probing || self.has_left_box => SHORT_WATCH_MS,
+            _ if self.is_probing || self.has_switched_to_store => SHORT_WATCH_MS,
             Topic::Upstreams => UPSTREAMS_WATCH_MS,
             Topic::Rollouts => IDLE_WATCH_MS,
             Topic::DrainedHalls => self.gateway.settings.bounds.hall_drain_watch_ms(),
@@ -253,9 +253,9 @@
 ///
 /// One that came empty after its whole wait was made at the end of the wait; any other one shows
 /// only what held when it was asked for.
-fn proven_at(asked_at_ms: u64, answered_at_ms: u64, wait_ms: u64, quiet: bool) -> u64 {
+fn proven_at(asked_at_ms: u64, answered_at_ms: u64, wait_ms: u64, is_empty: bool) -> u64 {
     let waited = answered_at_ms.saturating_sub(asked_at_ms) >= wait_ms;
-    if quiet && waited {
+    if is_empty && waited {
         asked_at_ms + wait_ms.saturating_sub(WATCH_LAG_MS)
     } else {
         asked_at_ms
