--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Answers boxes that follow a topic here: this box is their hall's relay, or the root.
+//! Serves boxes that follow a topic at this box, which is their hall's relay or the root.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,58 +16,59 @@
 use crate::history::{Backlog, RecordChange, Requester, SourceUnavailable};
 use crate::state::Gateway;
 
-/// Where a topic is followed.
+/// HTTP path for following a topic.
 pub const FOLLOW_PATH: &str = "/peer/follow";
-/// Longest wait of a question.
+/// Longest time for which a request is held open.
 const MAX_WAIT_MS: u64 = 20_000;
-/// Time for which a follower's question waits while this box looks for another source.
+/// Time for which a follower's request is held open while this box looks for another source.
 const FOLLOWER_SOURCE_WAIT_MS: u64 = 400;
-/// The same for a relay that takes this box for the root: it may soon be, but another one may be it
-/// already.
+/// The same for a request of a relay, which takes this box for the root. This box may become the
+/// root soon, but another box may already be.
 const RELAY_SOURCE_WAIT_MS: u64 = 150;
 
-/// The same for a box that knows nothing yet, while this one waits for the store's first answer. A
-/// configuration of 1,600 routes takes 0.3 s over a link of 10 Mbit/s; a box that is sent away looks for
-/// another root, which asks the store for all of it too.
+/// The same for a box without any data, while this box waits for the store's first response. A
+/// configuration of 1,600 routes takes 0.3 s over a link of 10 Mbit/s; a box that is refused looks
+/// for another root, which also reads everything from the store.
 const FIRST_RESPONSE_WAIT_MS: u64 = 600;
 
-/// Pause before it is looked again for a box that gives all records of a topic.
+/// Interval between attempts to find a box that can send all records of a topic.
 const COPY_RETRY_MS: u64 = 40;
-/// Records, or routes of a configuration, up to which all of them are given to whoever asks: 75 boxes get
-/// as many over a link of 10 Mbit/s in half a second.
+/// Number of records, or routes of a configuration, up to which every requester is sent all of them
+/// directly: 75 boxes receive as many over a link of 10 Mbit/s in half a second.
 const MAX_INLINE_RECORDS: usize = 256;
 
-/// What changed behind a revision.
+/// The changes of a topic since a revision.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FollowResponse {
-    /// The store's revision up to which this holds.
+    /// Store revision up to which this response is complete.
     pub revision: Revision,
-    /// All records, for who is too far behind.
+    /// All records, for a requester that is too far behind.
     #[serde(rename = "whole")]
     pub snapshot: Option<Snapshot>,
-    /// Changes in order.
+    /// Changes, oldest first.
     pub changes: Vec<RecordChange>,
-    /// Time between the question and this answer.
+    /// Time between the request and this response.
     pub held_ms: u64,
     /// Age of the proof that the configuration is the newest.
     pub proof_age_ms: Option<u64>,
-    /// For which state of other topics the proof vouches. It is of no use to a box that knows less: the box would take it
-    /// for a proof of what it knows itself.
+    /// The state of other topics that the proof covers. A box that is behind it must not use the
+    /// proof: it would take it for a proof of its own, older state.
     #[serde(default, rename = "vouches")]
     pub proof_scope: ProofScope,
 }
 
-/// Revisions of the last changes that a box with a proof knows; none of a topic of which it does not hear itself.
+/// Revisions of the last changes known to a box with a proof; `None` for a topic for which that box
+/// is not a source.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct ProofScope {
-    /// Of upstreams.
+    /// Last change of an upstream.
     pub upstreams: Option<Revision>,
-    /// Of drained halls.
+    /// Last change of a drained hall.
     pub drained_halls: Option<Revision>,
 }
 
 impl ProofScope {
-    /// What this box vouches for to who asks.
+    /// Returns the state that this box's proof covers for a requester.
     fn of(gateway: &Gateway, requester: Requester) -> Self {
         let last_change_revision = |topic| gateway.histories.last_change_revision(topic, requester);
         Self {
@@ -77,29 +78,31 @@
     }
 }
 
-/// All records of a topic.
+/// All records of a topic, or where to get them.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Snapshot {
     /// The records.
     #[serde(rename = "here")]
     Inline(Vec<Item>),
-    /// Another box gives them: this one gives them to several boxes already.
+    /// Another box has them. This one is already sending them to several boxes.
     #[serde(rename = "at")]
     Redirect(SocketAddr),
 }
 
 impl FollowResponse {
-    /// When the proof dates from by the clock of the box that asked at `asked_at_ms`; none if there is none.
+    /// Time of the proof by the clock of the box that sent the request at `requested_at_ms`; `None`
+    /// if there is no proof.
     pub fn proven_at_ms(&self, requested_at_ms: u64, now_ms: u64) -> Option<i64> {
         let age_ms = i64::try_from(self.proof_age_ms?).unwrap_or(i64::MAX);
-        // The answer came no sooner than it says, so its proof is no older than this.
+        // The response was sent at least `held_ms` after the request, so its proof is no older than
+        // this.
         let answered_at_ms = requested_at_ms.saturating_add(self.held_ms).min(now_ms);
         Some(answered_at_ms.cast_signed().saturating_sub(age_ms))
     }
 }
 
-/// Answers a box that follows a topic here.
+/// Handles a request of a box that follows a topic here.
 pub async fn handle(gateway: &Arc<Gateway>, query: Option<&str>) -> Response<AnswerBody> {
     let Some(request) = query.and_then(FollowRequest::parse) else {
         return bare(StatusCode::BAD_REQUEST);
@@ -143,12 +146,12 @@
             }
         };
         let left = Duration::from_millis(wake_ms - now_ms);
-        // Woken or not, the state itself is looked at again.
+        // The loop checks the state again whether or not there was an update.
         let _woken = timeout(left, updates.changed()).await;
     }
 }
 
-/// Time for which a question waits while this box has no source.
+/// Time for which a request is held open while this box has no source.
 fn source_wait_ms(request: &FollowRequest, reason: SourceUnavailable) -> u64 {
     match request.requester {
         _ if reason == SourceUnavailable::Pending && request.since.is_zero() => {
@@ -159,8 +162,7 @@
     }
 }
 
-/// The answer to a question about a topic; none where all records are to be given and nobody can give them
-/// now.
+/// Builds the response to a request; `None` if all records are needed and no box can send them now.
 fn follow_response(
     gateway: &Gateway,
     request: &FollowRequest,
@@ -184,7 +186,7 @@
     })
 }
 
-/// All records of a topic, or who gives them; none where nobody can now.
+/// Returns all records of a topic, or the box that has them; `None` if no box can send them now.
 fn snapshot(gateway: &Gateway, request: &FollowRequest) -> Option<Snapshot> {
     let here = || Snapshot::Inline(gateway.items(request.topic));
     if request.requester != Requester::Follower || gateway.bulk(request.topic) <= MAX_INLINE_RECORDS
@@ -195,7 +197,7 @@
     let histories = &gateway.histories;
     match histories.assign_copy_source(request.topic, &request.from, now_ms) {
         CopySource::Local => Some(here()),
-        // A box that is not known here any more gives nothing.
+        // The assigned box is no longer known here, so it cannot send anything.
         CopySource::Peer(name) => Some(
             gateway
                 .peers
@@ -206,7 +208,7 @@
     }
 }
 
-/// What a box asks for.
+/// The parameters of a follow request.
 struct FollowRequest {
     topic: Topic,
     from: Name,
@@ -216,7 +218,8 @@
 }
 
 impl FollowRequest {
-    /// Reads `topic=NAME&since=REVISION&wait_ms=N&asker=relay&from=NAME`, or another asker.
+    /// Parses `topic=NAME&since=REVISION&wait_ms=N&asker=relay&from=NAME`. Any other value of
+    /// `asker` but `copier` means a follower.
     fn parse(query: &str) -> Option<Self> {
         let field = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -238,12 +241,12 @@
     }
 }
 
-/// How a box names itself in a question, by what it is to the box that it asks.
+/// Values of the `asker` parameter: the requester's role towards the box that it calls.
 const REQUESTER_RELAY: &str = "relay";
 const REQUESTER_FOLLOWER: &str = "follower";
 const REQUESTER_COPIER: &str = "copier";
 
-/// The path and query at which the box `from` follows a topic.
+/// Returns the path and query with which the box `from` follows a topic.
 pub fn follow_path(
     topic: Topic,
     since: Revision,
--- a/crates/ivyweir-gateway/src/history.rs
+++ b/crates/ivyweir-gateway/src/history.rs
@@ -1,4 +1,4 @@
-//! What a box can pass on of the store's topics.
+//! Per-topic histories of the store's records, from which a box serves the boxes that follow it.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,48 +15,48 @@
 
 use crate::dialect::{Item, Topic};
 
-/// Changes of a topic that are kept at least, however few records it has.
+/// Minimum number of changes kept for a topic, however few records it has.
 const MIN_CHANGES_KEPT: usize = 128;
-/// Time for which a question shows that this box is a relay.
+/// Time after a request during which this box counts as followed.
 const FOLLOWER_ACTIVE_MS: u64 = 4_000;
 
-/// A change as it is passed on.
+/// A change as it is sent to other boxes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordChange {
     /// A record was written.
     Put(Item),
-    /// The record of this name is gone.
+    /// The record of this name was deleted.
     #[serde(rename = "gone")]
     Deleted(Name),
 }
 
-/// What a box can pass on of one topic.
+/// The changes of one topic.
 #[derive(Debug, Default)]
 struct History {
     revision: Revision,
-    /// Who asks from before this needs everything.
+    /// A requester at an older revision needs all records.
     compacted: Revision,
     changes: VecDeque<(Revision, RecordChange)>,
     source: TopicSource,
 }
 
-/// From whom this box hears a topic.
+/// Where this box receives a topic from.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum TopicSource {
-    /// From nobody.
+    /// No source.
     #[default]
     Unavailable,
-    /// From the store.
+    /// The store.
     Store,
-    /// From the root: this box is its hall's relay.
+    /// The root; this box is its hall's relay.
     Root,
-    /// From its hall's relay.
+    /// The relay of this box's hall.
     Relay,
 }
 
 impl TopicSource {
-    /// Whom a source stands for.
+    /// Maps a selected source to its kind.
     pub fn of(source: &Source) -> Self {
         match source {
             Source::Store => Self::Store,
@@ -67,62 +67,63 @@
     }
 }
 
-/// Who asks.
+/// The role of the box that sends a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Requester {
-    /// A box of this hall, of the hall's relay.
+    /// A box of this hall, which takes this box for the hall's relay.
     Follower,
-    /// A relay, of the root.
+    /// A relay, which takes this box for the root.
     Relay,
-    /// A box that was sent here for all records of a topic.
+    /// A box that was redirected here for all records of a topic.
     Copier,
 }
 
-/// What a box that asks does not know yet.
+/// The changes that a requester lacks.
 pub enum Backlog {
-    /// More than is kept; the revision of everything.
+    /// All records are needed, as the history does not reach back far enough; the revision is that
+    /// of the records.
     Snapshot(Revision),
     /// The changes, up to this revision.
     Changes(Revision, Vec<RecordChange>),
 }
 
-/// What this box knows of the store from its own questions.
+/// State of the store as seen by this box's own requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum StoreStatus {
-    /// No question was answered or failed yet.
+    /// No request was answered or failed yet.
     #[default]
     Untried,
-    /// It answers in time.
+    /// The store responds in time.
     Responsive,
-    /// It does not.
+    /// The store does not respond in time.
     Unresponsive,
 }
 
-/// Why this box does not tell of a topic.
+/// Why this box cannot serve a topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceUnavailable {
-    /// It asked the store a moment ago, for the first time.
+    /// It has sent the store its first request and waits for the response.
     Pending,
     /// It is looking for another source.
     Searching,
-    /// It follows another box itself.
+    /// It follows a relay itself, or it has no data for a redirected box.
     NotASource,
 }
 
-/// What a box can pass on.
+/// The histories of all topics and the state of their sources.
 #[derive(Debug, Default)]
 pub struct Histories {
     topics: Mutex<HashMap<Topic, History>>,
     store_status: Mutex<StoreStatus>,
-    /// When a box last asked here.
+    /// Time of the last request from another box.
     last_request_ms: AtomicU64,
     updates: watch::Sender<u64>,
-    /// Who gives whole copies to whom.
+    /// Which boxes send all records of a topic to which others.
     copy_transfers: Mutex<HashMap<Topic, CopyTransfers>>,
 }
 
 impl Histories {
-    /// Takes in that a topic was read as a whole.
+    /// Restarts the history of a topic after all of its records were read.
     pub fn reset(&self, topic: Topic, revision: Revision) {
         let mut topics = self.topics();
         let history = topics.entry(topic).or_default();
@@ -130,13 +131,14 @@
         history.compacted = revision;
         history.changes.clear();
         drop(topics);
-        // Copies of what was known before do not reach up to here.
+        // Copies of the previous records do not reach this revision.
         self.copy_transfers().remove(&topic);
         self.notify();
     }
 
-    /// Takes in changes of a topic that has so many `records` now. As many changes are kept: who is further behind
-    /// is told less by getting everything.
+    /// Appends changes of a topic that now has this number of `records`. No more changes than
+    /// records are kept, beyond the minimum: for a requester that is further behind, all records
+    /// are the smaller response.
     pub fn append(
         &self,
         topic: Topic,
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Takes in from whom this box hears a topic.
+    /// Sets the source from which this box receives a topic.
     pub fn set_source(&self, topic: Topic, source: TopicSource) {
         let mut topics = self.topics();
         let history = topics.entry(topic).or_default();
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Takes in whether the store answers this box in time; boxes that follow here must not be held
-    /// up.
+    /// Sets whether the store responds to this box in time. Waiting followers are woken on a
+    /// change, so that they can move to another source.
     pub fn set_store_responsive(&self, is_responsive: bool) {
         let status = if is_responsive {
             StoreStatus::Responsive
@@ -188,35 +190,35 @@
         }
     }
 
-    /// Whether this box hears the configuration from the store, and that answers.
+    /// Whether this box receives the configuration from the store, and the store responds.
     pub fn is_root(&self) -> bool {
         let topics = self.topics();
         let source = topics.get(&Topic::Site).map(|history| history.source);
         source == Some(TopicSource::Store) && self.is_store_responsive()
     }
 
-    /// Whether the store answered this box when it was last asked about the configuration.
+    /// Whether the store responded to this box's last request about the configuration.
     pub fn is_store_responsive(&self) -> bool {
         *self.status() == StoreStatus::Responsive
     }
 
-    /// Whether this box has neither an answer of the store nor a failure yet.
+    /// Whether the store has neither responded to nor failed any request of this box yet.
     pub fn is_store_untried(&self) -> bool {
         *self.status() == StoreStatus::Untried
     }
 
-    /// Takes in that another box asks here.
+    /// Records a request from another box.
     pub fn record_request(&self, now_ms: u64) {
         self.last_request_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Whether another box asked here lately.
+    /// Whether another box sent a request recently.
     pub fn has_recent_followers(&self, now_ms: u64) -> bool {
         let last_request_ms = self.last_request_ms.load(Ordering::Relaxed);
         last_request_ms > 0 && now_ms < last_request_ms + FOLLOWER_ACTIVE_MS
     }
 
-    /// Finds who gives a box its copy of a topic's records.
+    /// Assigns a source to a box that needs all records of a topic.
     pub fn assign_copy_source(&self, topic: Topic, requester: &Name, now_ms: u64) -> CopySource {
         self.copy_transfers()
             .entry(topic)
@@ -224,7 +226,7 @@
             .assign_source(requester, now_ms)
     }
 
-    /// Takes in that a box knows a topic up to `since`: it may have got its copy.
+    /// Records that a box has a topic up to `since`, which may mean that it received its copy.
     pub fn record_copy_progress(&self, topic: Topic, since: Revision, name: &Name) {
         let compacted = self.topics().get(&topic).map(|history| history.compacted);
         let compacted = compacted.unwrap_or_default();
@@ -242,20 +244,20 @@
             .expect("invariant: no holder panics")
     }
 
-    /// Wakes who waits: something changed, or the proof is newer.
+    /// Wakes the waiting tasks: something changed, or the proof was renewed.
     pub fn notify(&self) {
         self.updates.send_modify(|count| *count += 1);
     }
 
-    /// Tells from now on whenever something changes, or the proof is newer.
+    /// Subscribes to changes and renewals of the proof.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.updates.subscribe()
     }
 
-    /// Waits until something changes, or `limit` has passed.
+    /// Waits until something changes or the proof is renewed, for at most `limit`.
     pub async fn wait_for_change(&self, limit: Duration) {
         let mut updates = self.updates.subscribe();
-        // Either way the caller looks at the state itself.
+        // The caller checks the state itself in either case.
         let _woken = timeout(limit, updates.changed()).await;
     }
 
@@ -269,7 +271,11 @@
         self.topics.lock().expect("invariant: no holder panics")
     }
 
-    /// Changes behind `since`; none if there are none, an error if this box does not hear of them.
+    /// Returns the changes since a revision; `None` if there are none.
+    ///
+    /// # Errors
+    ///
+    /// When this box is not a source of the topic for the requester.
     pub fn changes_since(
         &self,
         topic: Topic,
@@ -278,7 +284,8 @@
     ) -> Result<Option<Backlog>, SourceUnavailable> {
         let topics = self.topics();
         let history = topics.get(&topic).ok_or(SourceUnavailable::Searching)?;
-        // Who knows nothing yet is better off with what was last heard; its proof tells the age.
+        // A box without any data is better served with the last known records than refused; the
+        // proof tells it their age.
         let is_new_requester = since.is_zero() && !history.compacted.is_zero();
         if requester == Requester::Copier && !is_new_requester {
             return Err(SourceUnavailable::NotASource);
@@ -296,7 +303,8 @@
         Ok((!is_empty).then_some(Backlog::Changes(history.revision, changes)))
     }
 
-    /// Revision of the last change of a topic that this box knows; none where it is no source of the topic for who asks.
+    /// Revision of the last known change of a topic; `None` if this box is not a source of the
+    /// topic for the requester.
     pub fn last_change_revision(&self, topic: Topic, requester: Requester) -> Option<Revision> {
         let topics = self.topics();
         let history = topics.get(&topic)?;
@@ -305,14 +313,14 @@
         Some(last.unwrap_or(history.compacted))
     }
 
-    /// Revision up to which this box knows a topic; zero if it knows nothing yet.
+    /// Revision up to which this box has a topic; zero if it has no data yet.
     pub fn revision(&self, topic: Topic) -> Revision {
         let topics = self.topics();
         let history = topics.get(&topic);
         history.map_or_else(Revision::default, |history| history.revision)
     }
 
-    /// Whether this box is a source for who asks.
+    /// Checks that this box is a source for the requester.
     fn check_source(
         &self,
         source: TopicSource,
--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -1,12 +1,13 @@
-//! Boxes among themselves: who they are, from whom this one hears the store, and what they told.
+//! The other boxes: their addresses, the selection of the source of the store's records, and the
+//! reports that the boxes exchange.
 //!
-//! One box of each hall, its relay, hears the store's records for the others of the hall, and the
-//! relays hear them from one of them, the root, which watches the store. Every box tells its relay
-//! its work under way and its counts of a roll-out's answers, and hears the fleet's; relays tell
-//! each other the sums of their halls.
+//! One box of each hall, its relay, receives the store's records for the other boxes of the hall.
+//! The relays receive them from one of their number, the root, which watches the store. Every box
+//! reports its work in progress and its response counts of roll-outs to its relay and receives
+//! those of the fleet; relays exchange the sums of their halls.
 //!
-//! A box is silent if it does not answer as it should, and sourceless if it answers but hears the
-//! records from nobody; either is left alone, or shunned, for a while.
+//! A box is unresponsive if it does not respond correctly, and sourceless if it responds but has no
+//! source of the records. In both cases it is not used until a back-off has passed.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -30,18 +31,18 @@
 
 use crate::clock::Clock;
 
-/// Pauses for a box that does not answer.
+/// Back-off for a box that does not respond.
 const UNRESPONSIVE_BACKOFF: PeerBackoffConfig = PeerBackoffConfig {
     initial_ms: 1_500,
     max_ms: 12_000,
 };
-/// Pauses for a box that answers but has no source of the records, this one included.
+/// Back-off for a box that responds but has no source of the records; applies to this box too.
 const SOURCELESS_BACKOFF: PeerBackoffConfig = PeerBackoffConfig {
     initial_ms: 600,
     max_ms: 3_000,
 };
 
-/// A sum of all boxes' work and repeats, and when it was made.
+/// The totals of all boxes' work and repeats, and when they were computed.
 #[derive(Debug)]
 struct FleetTotals {
     work: Work,
@@ -49,37 +50,39 @@
     at_ms: u64,
 }
 
-/// What a box knows of others.
+/// A box's knowledge of the others.
 #[derive(Debug)]
 pub struct Peers {
     me: BoxRecord,
     seeds: Mutex<Vec<SocketAddr>>,
     joined: Mutex<JoinedBoxes>,
     seed_lists: Mutex<SeedLists>,
-    /// Other boxes, by the seeds' lists and who joined here.
+    /// Other boxes, from the seeds' lists and the joins received here.
     others: Mutex<HashMap<Name, BoxRecord>>,
     is_settled: AtomicBool,
-    /// Whether the boxes at which this one joined were young: all may have started together.
+    /// Whether the seed that this box last joined had started recently, in which case all boxes may
+    /// be starting together.
     is_fleet_starting: AtomicBool,
-    /// Boxes of all halls, by the last seed that answered.
+    /// Number of boxes of all halls, as reported by the last seed that responded.
     fleet_size: AtomicUsize,
-    /// Counts how often boxes were found silent or sourceless.
+    /// Number of times that a box was found unresponsive or sourceless.
     backoffs: watch::Sender<u64>,
     unresponsive: Mutex<PeerBackoff>,
     sourceless: Mutex<PeerBackoff>,
-    /// The root that this box hears from, if it is a relay; itself if it is the root.
+    /// The root from which this box receives records if it is a relay; itself if it is the root.
     root: Mutex<StickyRoot>,
     reports: Mutex<PeerReports>,
-    /// The sum of all boxes' words that was told last.
+    /// The totals of all boxes' reports that were last computed.
     fleet_totals: Mutex<Option<FleetTotals>>,
-    /// The boxes that share what cold upstreams bear.
+    /// The boxes that share the quota of cold upstreams.
     quota_owners: Mutex<Arc<QuotaOwners>>,
     /// When this box last joined at another one.
     joined_at_ms: AtomicU64,
 }
 
 impl Peers {
-    /// This box in this `run` of its process, and the addresses at which it joins the others.
+    /// Creates the state of this box in this `run` of its process; `seeds` are the addresses at
+    /// which it joins the others.
     pub fn new(me: BoxRecord, run: u64, seeds: Vec<SocketAddr>) -> Self {
         let quota_owners = Mutex::new(Arc::new(quota_owners_among(&me, &HashMap::new())));
         let peers = Self {
@@ -104,12 +107,12 @@
         peers
     }
 
-    /// This box.
+    /// Record of this box.
     pub fn me(&self) -> &BoxRecord {
         &self.me
     }
 
-    /// Takes in the addresses at which boxes join; returns whether they are others than before.
+    /// Sets the addresses at which this box joins; returns whether they changed.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) -> bool {
         let others = seeds.into_iter().filter(|seed| *seed != self.me.peer_addr);
         let others: Vec<SocketAddr> = others.collect();
@@ -129,7 +132,7 @@
         lock(&self.seeds).is_empty()
     }
 
-    /// The address of some other box.
+    /// The address of a randomly chosen other box.
     pub fn random_peer(&self) -> Option<SocketAddr> {
         let others = lock(&self.others);
         let count = others.len();
@@ -137,43 +140,43 @@
         others.values().nth(at).map(|record| record.peer_addr)
     }
 
-    /// Takes in what is new on a seed's list of other boxes: none where that has not changed. [`merge`](Self::merge)
-    /// follows at the end of the round.
+    /// Applies the changes of a seed's list of other boxes, `None` if it is unchanged. The caller
+    /// calls [`merge`](Self::merge) at the end of the round.
     pub fn apply_seed_list(&self, seed: SocketAddr, update: Option<MembershipUpdate>, now_ms: u64) {
         lock(&self.seed_lists).apply(seed, update, now_ms);
     }
 
-    /// What this box has of a seed's list.
+    /// The state of a seed's list that this box has.
     pub fn seed_list_cursor(&self, seed: SocketAddr) -> Option<MembershipCursor> {
         lock(&self.seed_lists).cursor(seed)
     }
 
-    /// Takes in that a box joins here.
+    /// Adds a box that joins here.
     pub fn add_joined(&self, record: BoxRecord, now_ms: u64) {
         if lock(&self.joined).join(record, now_ms) {
             self.merge(now_ms);
         }
     }
 
-    /// Looks at the boxes that joined here, this one among them.
+    /// Calls a function with the boxes that joined here, after adding this one.
     pub fn with_joined<T>(&self, now_ms: u64, look: impl FnOnce(&mut JoinedBoxes) -> T) -> T {
         let mut joined = lock(&self.joined);
         joined.join(self.me.clone(), now_ms);
         look(&mut joined)
     }
 
-    /// Takes in how many boxes joined at a seed.
+    /// Sets the number of boxes that joined at a seed.
     pub fn set_fleet_size(&self, boxes: usize) {
         self.fleet_size.store(boxes, Ordering::Relaxed);
     }
 
-    /// Boxes of all halls, this one included, as far as is known.
+    /// Number of known boxes of all halls, including this one.
     pub fn fleet_size(&self) -> usize {
         let reported = self.fleet_size.load(Ordering::Relaxed);
         reported.max(self.peer_count() + 1)
     }
 
-    /// Computes the other boxes anew: some may have joined, or not joined any more.
+    /// Recomputes the set of other boxes, as some may have joined or stopped joining.
     pub fn merge(&self, now_ms: u64) {
         let mut others = lock(&self.seed_lists).boxes();
         let joined = lock(&self.joined).list_for(&self.me.hall, now_ms);
@@ -187,44 +190,44 @@
         }
     }
 
-    /// The boxes that share what cold upstreams bear, by the boxes known.
+    /// The boxes that share the quota of cold upstreams, computed from the known boxes.
     pub fn quota_owners(&self) -> Arc<QuotaOwners> {
         lock(&self.quota_owners).clone()
     }
 
-    /// Takes in that this box joined at another one.
+    /// Records that this box joined at another one.
     pub fn record_joined(&self, now_ms: u64) {
         self.joined_at_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Time since this box last joined at another one; none where it has none to join.
+    /// Time since this box last joined at another one; `None` if there is no other seed.
     pub fn since_joined_ms(&self, now_ms: u64) -> Option<u64> {
         let joined_at_ms = self.joined_at_ms.load(Ordering::Relaxed);
         (!self.is_only_seed()).then(|| now_ms.saturating_sub(joined_at_ms))
     }
 
-    /// Takes in that the list of boxes is good enough to choose a relay by.
+    /// Marks the list of boxes as complete enough to choose a relay.
     pub fn settle(&self) {
         self.is_settled.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it is.
+    /// Whether the list of boxes is complete enough to choose a relay.
     pub fn is_settled(&self) -> bool {
         self.is_settled.load(Ordering::Relaxed)
     }
 
-    /// Takes in whether the boxes at which this one joins started lately.
+    /// Sets whether the boxes at which this one joins started recently.
     pub fn set_fleet_starting(&self, is_fleet_starting: bool) {
         self.is_fleet_starting
             .store(is_fleet_starting, Ordering::Relaxed);
     }
 
-    /// Whether they did, as far as is known.
+    /// Whether the boxes at which this one joins started recently; true until it is known.
     pub fn is_fleet_starting(&self) -> bool {
         self.is_fleet_starting.load(Ordering::Relaxed)
     }
 
-    /// From whom this box is to hear the store's records next.
+    /// Selects the source from which this box receives the store's records next.
     pub fn source(&self, now_ms: u64) -> Source {
         let others = lock(&self.others);
         let mut root = lock(&self.root);
@@ -240,7 +243,8 @@
         source
     }
 
-    /// Takes in that a box is a root; returns whether this one, which was the root too, gives way to it.
+    /// Handles the claim of another box to be a root; returns whether this box, which was a root
+    /// too, yields to it.
     pub fn yield_root(&self, name: &Name) -> bool {
         let others = lock(&self.others);
         let Some(other) = others.get(name) else {
@@ -253,31 +257,33 @@
         yields
     }
 
-    /// Whether a box is left alone for now, as it was silent or sourceless.
+    /// Whether a box is in back-off for being unresponsive or sourceless.
     fn is_backing_off(&self, name: &str, now_ms: u64) -> bool {
         lock(&self.unresponsive).is_backing_off(name, now_ms)
             || lock(&self.sourceless).is_backing_off(name, now_ms)
     }
 
-    /// Takes in that a box has no source of the store's records; of this one, that the store does not
-    /// answer it.
+    /// Records that a box has no source of the store's records; for this box, that the store does
+    /// not respond to it.
     pub fn record_sourceless(&self, name: &Name, now_ms: u64) {
         lock(&self.sourceless).record_failure(name, now_ms);
         self.backoffs.send_modify(|count| *count += 1);
     }
 
-    /// Takes in that a box has a source of the store's records; of this one, that the store answers.
+    /// Records that a box has a source of the store's records; for this box, that the store
+    /// responds.
     pub fn record_source(&self, name: &str) {
         lock(&self.sourceless).record_success(name);
     }
 
-    /// Takes in that a box did not answer as it should.
+    /// Records that a box did not respond correctly.
     pub fn record_unresponsive(&self, name: &Name, now_ms: u64) {
         lock(&self.unresponsive).record_failure(name, now_ms);
         self.backoffs.send_modify(|count| *count += 1);
     }
 
-    /// Waits until a box is left alone, whichever follower or task found it silent or sourceless.
+    /// Waits until a box is in back-off, whichever follower or task found it unresponsive or
+    /// sourceless.
     pub async fn wait_until_backing_off(&self, name: &Name, clock: &Clock) {
         let mut backoffs = self.backoffs.subscribe();
         while !self.is_backing_off(name, clock.now_ms()) {
@@ -286,7 +292,7 @@
         }
     }
 
-    /// Takes in that a box answered.
+    /// Records that a box responded.
     pub fn record_response(&self, name: &Name) {
         lock(&self.unresponsive).record_success(name);
     }
@@ -302,9 +308,10 @@
         (relay.name != self.me.name).then(|| relay.clone())
     }
 
-    /// The root that this box hears from as its hall's relay, unless it is the root itself.
+    /// The root from which this box receives records if it is a relay; itself if it is the root.
     pub fn root(&self) -> Option<BoxRecord> {
-        // Both locks at once would be taken in the opposite order of `source`.
+        // Holding both locks at once would acquire them in the opposite order of `source`, which
+        // could deadlock.
         let name = lock(&self.root).name()?.clone();
         lock(&self.others).get(&name).cloned()
     }
@@ -319,7 +326,7 @@
         halls
     }
 
-    /// Whether a word of each other hall was heard lately.
+    /// Whether every other hall has reported recently.
     pub fn has_reports_from_all_halls(&self, now_ms: u64) -> bool {
         let senders = lock(&self.reports).recent_senders(now_ms);
         let others = lock(&self.others);
@@ -329,23 +336,23 @@
         halls.all(|hall| *hall == self.me.hall || reported_halls.contains(hall))
     }
 
-    /// Number of other boxes that this one knows.
+    /// Number of other known boxes.
     pub fn peer_count(&self) -> usize {
         lock(&self.others).len()
     }
 
-    /// Takes in the word of a box, or of a relay for several boxes.
+    /// Stores the report of a box, or of a relay for several boxes.
     pub fn add_report(&self, from: &Name, report: PeerReport, now_ms: u64) {
         lock(&self.reports).insert(from, report, now_ms);
     }
 
-    /// The sum of the latest words of boxes other than `except`.
+    /// The sum of the latest reports of all boxes other than those matched by `except`.
     pub fn sum_reports_except(&self, except: impl Fn(&str) -> bool, now_ms: u64) -> PeerReport {
         lock(&self.reports).sum_except(except, now_ms)
     }
 
-    /// The work and the repeats of all boxes, as far as they were told; `own` is this box's word. A sum
-    /// that is younger than `max_age_ms` is told again.
+    /// The work and the repeats of all boxes, as far as they are reported; `own` is this box's
+    /// report. Totals younger than `max_age_ms` are returned again without being recomputed.
     pub fn fleet_totals(
         &self,
         max_age_ms: u64,
@@ -367,22 +374,22 @@
         (work, repeats)
     }
 
-    /// The counts that boxes other than `except` told lately.
+    /// The roll-out counts that boxes other than `except` reported recently.
     pub fn tallies_except(&self, except: &str, now_ms: u64) -> HashMap<Name, Tally> {
         lock(&self.reports).tallies_except(except, now_ms)
     }
 
-    /// Boxes of this hall, this one included, as far as is known.
+    /// Number of known boxes of this hall, including this one.
     pub fn hall_size(&self) -> usize {
         self.quota_owners().hall_size()
     }
 
-    /// Where a box listens for others.
+    /// The address at which a box listens for other boxes.
     pub fn addr_of(&self, name: &Name) -> Option<SocketAddr> {
         lock(&self.others).get(name).map(|record| record.peer_addr)
     }
 
-    /// Whether a box is of this hall, as far as is known.
+    /// Whether a box is known to be in a hall.
     pub fn is_in_hall(&self, name: &str, hall: &str) -> bool {
         lock(&self.others)
             .get(name)
@@ -390,7 +397,7 @@
     }
 }
 
-/// The boxes among which `me` shares what cold upstreams bear.
+/// The boxes that share the quota of cold upstreams with `me`.
 fn quota_owners_among(me: &BoxRecord, others: &HashMap<Name, BoxRecord>) -> QuotaOwners {
     let hash = |name: &Name| hash64(&[name.as_bytes()]);
     let of_hall = others.values().filter(|record| record.hall == me.hall);
