--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -60,8 +60,8 @@
     /// Other boxes, from the seeds' lists and the joins received here.
     others: Mutex<HashMap<Name, BoxRecord>>,
     is_settled: AtomicBool,
-    /// Whether the seed that this box last joined had started recently, in which case all boxes may
-    /// be starting together.
+    /// Whether all boxes may be starting together: the last seed that responded had started
+    /// recently, or none responded.
     is_fleet_starting: AtomicBool,
     /// Number of boxes of all halls, as reported by the last seed that responded.
     fleet_size: AtomicUsize,
@@ -76,7 +76,7 @@
     fleet_totals: Mutex<Option<FleetTotals>>,
     /// The boxes that share the quota of cold upstreams.
     quota_owners: Mutex<Arc<QuotaOwners>>,
-    /// When this box last joined at another one.
+    /// Time at which this box last joined at another one.
     joined_at_ms: AtomicU64,
 }
 
@@ -216,13 +216,13 @@
         self.is_settled.load(Ordering::Relaxed)
     }
 
-    /// Sets whether the boxes at which this one joins started recently.
+    /// Sets whether all boxes may be starting together.
     pub fn set_fleet_starting(&self, is_fleet_starting: bool) {
         self.is_fleet_starting
             .store(is_fleet_starting, Ordering::Relaxed);
     }
 
-    /// Whether the boxes at which this one joins started recently; true until it is known.
+    /// Whether all boxes may be starting together; true until this box's first join.
     pub fn is_fleet_starting(&self) -> bool {
         self.is_fleet_starting.load(Ordering::Relaxed)
     }
@@ -308,7 +308,8 @@
         (relay.name != self.me.name).then(|| relay.clone())
     }
 
-    /// The root from which this box receives records if it is a relay; itself if it is the root.
+    /// The root from which this box receives records as its hall's relay, unless it is the root
+    /// itself.
     pub fn root(&self) -> Option<BoxRecord> {
         // Holding both locks at once would acquire them in the opposite order of `source`, which
         // could deadlock.
--- a/crates/ivyweir-gateway/src/reports.rs
+++ b/crates/ivyweir-gateway/src/reports.rs
@@ -1,7 +1,8 @@
-//! What boxes tell each other, a few times a second: their words.
+//! The reports that boxes exchange a few times a second.
 //!
-//! A relay tells all boxes of its hall the same sum of work, theirs included, and each takes its own off:
-//! a sum for each of 75 boxes took the square of their number.
+//! A relay sends all boxes of its hall the same totals of work, theirs included, and each box
+//! subtracts its own: computing separate totals for each of 75 boxes took time quadratic in their
+//! number.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,38 +25,40 @@
 use crate::client::Client;
 use crate::state::Gateway;
 
-/// Where boxes tell their word.
+/// HTTP path for reports.
 pub const REPORT_PATH: &str = "/peer/word";
-/// How often boxes tell each other; requests come and go within some hundred milliseconds.
+/// Interval between reports; requests start and end within a few hundred milliseconds.
 const EXCHANGE_INTERVAL_MS: u64 = 250;
-/// Boxes of a hall up to which they keep to that. An empty word and its answer take some 450 bytes with their
-/// heads, by reckoning: 54 KB a second at the relay of 30 boxes.
+/// Number of boxes of a hall up to which this interval holds. An empty report and its response are
+/// estimated at 450 bytes with their headers: 54 KB a second at the relay of 30 boxes.
 const BASE_INTERVAL_BOXES: u64 = 30;
-/// The longest round: what is told counts for twice as long.
+/// Maximum interval between reports; a report stays valid for twice as long.
 const MAX_EXCHANGE_INTERVAL_MS: u64 = 600;
-/// The shortest pause between a box's words: where hundreds of upstreams leave at once, each departure would be a
-/// message of its own.
+/// Minimum pause between a box's reports. Without it, each departure would be a message of its own
+/// where hundreds of upstreams leave at once.
 const MIN_EXCHANGE_PAUSE: Duration = Duration::from_millis(50);
-/// Age up to which a relay tells the same sum of all boxes' words again.
+/// Age up to which a relay sends the same totals of all boxes again.
 const FLEET_TOTALS_MAX_AGE_MS: u64 = 100;
-/// Time for another box to answer.
+/// Response timeout of another box.
 const RESPONSE_LIMIT: Duration = Duration::from_millis(400);
-/// The same while boxes start together. Relays then pass on whole lists, and seeds answer everybody: behind a
-/// link of 10 Mbit/s before 75 boxes answers came later than 0.4 s, and all left their relay.
+/// The same while boxes start together. Relays then pass on complete lists, and seeds respond to
+/// every box: behind a link of 10 Mbit/s in front of 75 boxes, responses took longer than 0.4 s,
+/// and all boxes left their relay.
 const STARTUP_RESPONSE_LIMIT: Duration = Duration::from_millis(1_500);
-/// Largest message between boxes.
+/// Maximum size of a message between boxes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Tells other boxes this box's word and takes in theirs, for the life of the process.
+/// Exchanges reports with other boxes for the lifetime of the process.
 pub async fn exchange_reports(gateway: Arc<Gateway>) {
     let mut clients: HashMap<SocketAddr, Client> = HashMap::new();
-    // The relay's sum holds what it was told the last time.
+    // The relay's totals include the work that this box last reported.
     let mut last_sent_work = Work::new();
     loop {
         sleep(MIN_EXCHANGE_PAUSE).await;
         let interval =
             exchange_interval(gateway.peers.hall_size() as u64).saturating_sub(MIN_EXCHANGE_PAUSE);
-        // A quarantine or a departure is told at once: each moment another box may send a request.
+        // A quarantine or a departure is sent at once: until it arrives, another box may still send
+        // a request.
         let _woken = timeout(interval, gateway.until_urgent()).await;
         let now_ms = gateway.clock.now_ms();
         let mut report = match gateway.peers.relay(&gateway.settings.hall, now_ms) {
@@ -80,13 +83,13 @@
     }
 }
 
-/// Time between a box's words, by the number of boxes in its hall.
+/// Interval between a box's reports, by the number of boxes in its hall.
 fn exchange_interval(boxes: u64) -> Duration {
     let interval_ms = EXCHANGE_INTERVAL_MS * boxes.max(BASE_INTERVAL_BOXES) / BASE_INTERVAL_BOXES;
     Duration::from_millis(interval_ms.min(MAX_EXCHANGE_INTERVAL_MS))
 }
 
-/// Tells relays of other halls this hall's word.
+/// Sends this hall's report to the relays of other halls.
 async fn report_to_other_halls(gateway: &Gateway, clients: &mut HashMap<SocketAddr, Client>) {
     let own_hall = &gateway.settings.hall;
     let root = gateway.peers.root();
@@ -97,7 +100,8 @@
         let Some(relay) = gateway.peers.relay(&hall, gateway.clock.now_ms()) else {
             continue;
         };
-        // Each pair of relays talks once a round; whoever hears from the other must notice its loss.
+        // Each pair of relays exchanges reports once per interval. A relay always calls its root,
+        // as it must detect its loss.
         if polls(own_hall, &hall) || root.as_ref() == Some(&relay) {
             let report = hall_report(gateway);
             let message = own_message(gateway, &relay.name, true, report, UpdateContent::Rows);
@@ -106,7 +110,7 @@
     }
 }
 
-/// Tells a box a message and takes in what it answers.
+/// Sends a message to a box and applies its response.
 async fn send_report(
     gateway: &Gateway,
     clients: &mut HashMap<SocketAddr, Client>,
@@ -138,13 +142,14 @@
     }
 }
 
-/// Takes in what a box told.
+/// Applies a message of another box.
 fn apply_message(gateway: &Gateway, message: PeerReportMessage, now_ms: u64) {
     if message.is_root && gateway.peers.yield_root(&message.from) {
         let detail = json!({"peer": message.from});
         gateway.log.line("root_yielded", detail);
     }
-    // A box that hears nothing itself goes back to one that does at once, rather than after its pause.
+    // A box without a source returns at once to one that has a source, instead of waiting for its
+    // back-off.
     if message.hears && !gateway.hears_store() {
         gateway.peers.record_source(&message.from);
     }
@@ -161,13 +166,14 @@
         .add_report(&message.from, message.word, now_ms);
 }
 
-/// What boxes other than `except` told.
+/// Returns the sum of the reports of boxes other than those matched by `except`.
 fn others_report(gateway: &Gateway, except: impl Fn(&str) -> bool) -> PeerReport {
     let now_ms = gateway.clock.now_ms();
     gateway.peers.sum_reports_except(except, now_ms)
 }
 
-/// What this box and those of its hall that tell it have to say.
+/// Returns the report of this hall: this box's own and those of the boxes of the hall that report
+/// to it.
 fn hall_report(gateway: &Gateway) -> PeerReport {
     let hall = &gateway.settings.hall;
     let mut report = others_report(gateway, |from| !gateway.peers.is_in_hall(from, hall));
@@ -175,7 +181,8 @@
     report
 }
 
-/// What a box of this hall is told: all work and repeats, its own included, and the counts of all others.
+/// Returns the report for a box of this hall: all work and repeats, including its own, and the
+/// roll-out counts of all others.
 fn report_for(gateway: &Gateway, sender: &Name, now_ms: u64) -> PeerReport {
     let own = gateway.own_word();
     let (work, repeats) = gateway
@@ -191,7 +198,7 @@
     }
 }
 
-/// This box's message to another one.
+/// Builds this box's message to another one.
 fn own_message(
     gateway: &Gateway,
     to: &Name,
@@ -212,7 +219,7 @@
     }
 }
 
-/// Answers a box that tells its word with what it should know of the others.
+/// Handles a report, and responds with the reports of other boxes.
 pub async fn handle(gateway: &Gateway, request: Request<Incoming>) -> Response<AnswerBody> {
     let message = box_call::read_message::<PeerReportMessage>(request, MAX_MESSAGE_BYTES);
     let Some(message) = message.await else {
@@ -226,7 +233,7 @@
     };
     let (sender, for_hall) = (message.from.clone(), message.for_hall);
     apply_message(gateway, message, now_ms);
-    // Boxes of the hall sum nothing up.
+    // Boxes of the hall compute no sums, so they need no rows.
     let content = if for_hall {
         UpdateContent::Rows
     } else {
--- a/crates/ivyweir-gateway/src/sync.rs
+++ b/crates/ivyweir-gateway/src/sync.rs
@@ -1,5 +1,5 @@
-//! Keeps a topic in step with the store: lists and watches it, or asks the box that does, and tries
-//! the store where that box does not renew the proof.
+//! Keeps a topic in sync with the store: lists and watches it, or follows the box that does, and
+//! probes the store if that box does not renew the proof.
 
 mod confirm;
 mod peer;
@@ -23,19 +23,19 @@
 
 use probe::Probes;
 
-/// Pauses after the store failed a box that others follow: the first, and the longest.
+/// Initial and maximum back-off after a failed call to the store; other boxes may follow this one.
 const INITIAL_RETRY_MS: u64 = 100;
 const MAX_RETRY_MS: u64 = 600;
-/// How often a box without a source looks for one among the others.
+/// Interval at which a box without a source looks for one among the others.
 const SOURCE_POLL: Duration = Duration::from_millis(200);
-/// How often a box that starts looks whether it knows the others.
+/// Interval at which a starting box checks whether its list of boxes is complete enough.
 const SETTLE_POLL: Duration = Duration::from_millis(20);
-/// Longest wait for news after a failed call about anything but the configuration.
+/// Longest wait for a change after a failed call about any topic but the configuration.
 const MAX_CHANGE_WAIT: Duration = Duration::from_millis(2_500);
-/// How long quiet topics are waited for; dead connections are noticed sooner by the kernel.
+/// Duration of a watch of a topic that rarely changes; the kernel detects dead connections sooner.
 const IDLE_WATCH_MS: u64 = 15_000;
 
-/// Follows one topic for the life of the process.
+/// Follows one topic for the lifetime of the process.
 pub async fn follow(gateway: Arc<Gateway>, topic: Topic) {
     while !gateway.peers.is_settled() {
         sleep(SETTLE_POLL).await;
@@ -52,38 +52,38 @@
     }
 }
 
-/// Who gave no answer.
+/// What did not respond.
 enum FetchError {
     /// The store.
     Store,
-    /// Another box; the next question goes elsewhere at once.
+    /// Another box; the next request goes to another source at once.
     Peer,
-    /// Nobody hears of the topic now.
+    /// There is no source of the topic now.
     NoSource,
 }
 
 struct Follower {
     client: StoreClient,
-    /// The connection to the box that is asked.
+    /// The box that is followed, and the connection to it.
     connection: Option<(BoxRecord, Client)>,
     gateway: Arc<Gateway>,
     topic: Topic,
     failures: u32,
-    /// Tries of the store by a box that is to follow another.
+    /// Probes of the store while this box follows another.
     probes: Probes,
-    /// Whether one is under way, or a poll that follows it.
+    /// Whether a probe is in progress, or a poll that follows one.
     is_probing: bool,
-    /// Polls of the store that were asked of this follower and done.
+    /// Number of poll requests that this follower has seen.
     polls_seen: u64,
-    /// How often an answer about upstreams at once had been asked for when this follower last got one, and
-    /// when it last asked.
+    /// Number of requests for an immediate response about upstreams when this follower sent the
+    /// request behind its last such response, and when it sent its last request.
     upstreams_requests_served: u64,
     upstreams_requests_seen: u64,
-    /// Whether another box was asked before.
+    /// Whether this follower used another box as its source before the current call to the store.
     has_switched_to_store: bool,
-    /// Whether a loss has not been followed yet by an answer about upstreams.
+    /// Whether no response about upstreams has followed the last loss yet.
     is_unconfirmed: bool,
-    /// How often such an answer was waited for in vain.
+    /// Number of consecutive waits for such a response that timed out.
     failed_waits: u32,
 }
 
@@ -109,19 +109,21 @@
         }
     }
 
-    /// Whether the configuration's follower waits for an answer about upstreams that this one is to get.
+    /// Whether the configuration's follower waits for a response about upstreams that this follower
+    /// has to get.
     fn is_upstreams_requested(&self) -> bool {
         let requested = self.gateway.store_news.upstreams_requests();
         self.topic == Topic::Upstreams && requested > self.upstreams_requests_served
     }
 
-    /// Takes in that a question is asked now; returns whether its answer is requested at once.
+    /// Marks the start of a request; returns whether its response is needed at once.
     fn begin_request(&mut self) -> bool {
         self.upstreams_requests_seen = self.gateway.store_news.upstreams_requests();
         self.is_upstreams_requested()
     }
 
-    /// Hears of changes once; returns where to go on, or none if the topic is to be read anew.
+    /// Fetches changes once. Returns the revision to continue from, or `None` if the topic must be
+    /// read again.
     async fn fetch(&mut self, since: Option<Revision>) -> Result<Option<Revision>, FetchError> {
         let gateway = self.gateway.clone();
         let source = gateway.peers.source(gateway.clock.now_ms());
@@ -145,15 +147,16 @@
         }
     }
 
-    /// Whether the configuration's follower is to find that the store answers first: each call to a
-    /// store that is out is paid for. On a box that has just started, callers wait for all topics.
+    /// Whether the configuration's follower has to find the store responsive first, as each call to
+    /// an unavailable store has a cost. On a box that has just started, callers wait for all
+    /// topics, so none of them is delayed.
     fn awaits_site_follower(&self) -> bool {
         let histories = &self.gateway.histories;
         let starts = histories.is_store_untried() && !self.gateway.is_synced();
         self.topic != Topic::Site && !histories.is_store_responsive() && !starts
     }
 
-    /// Hears of changes from another box.
+    /// Fetches changes from another box.
     async fn fetch_from_box(
         &mut self,
         since: Option<Revision>,
@@ -166,7 +169,7 @@
         Ok(Some(next))
     }
 
-    /// Hears of changes from the store.
+    /// Fetches changes from the store.
     async fn fetch_from_store(
         &mut self,
         since: Option<Revision>,
@@ -187,7 +190,7 @@
         since.era == era && (since.is_settled || !self.gateway.is_store_settled())
     }
 
-    /// Takes in that the store answered.
+    /// Records a response of the store.
     fn record_success(&mut self) {
         self.count("ok");
         self.gateway
@@ -203,7 +206,7 @@
         self.failures = 0;
     }
 
-    /// Takes in that the store did not answer.
+    /// Records a failed call to the store.
     fn record_failure(&mut self, error: &CallError) {
         self.count("failed");
         if self.topic == Topic::Site {
@@ -224,8 +227,8 @@
         calls.with_label_values(&[self.topic.name(), outcome]).inc();
     }
 
-    /// Waits after a failure. Only the configuration's follower tries the store again and again;
-    /// the others wait for news, which its success is.
+    /// Waits after a failure. Only the configuration's follower retries the store; the others wait
+    /// for a change, and its success is one.
     async fn back_off(&self) {
         let histories = &self.gateway.histories;
         if self.topic != Topic::Site {
@@ -238,7 +241,7 @@
         sleep(Duration::from_millis(pause_ms / 2 + spread_ms)).await;
     }
 
-    /// Waits while nobody hears of the topic.
+    /// Waits while there is no source of the topic.
     async fn wait_for_source(&self) {
         let histories = &self.gateway.histories;
         match self.topic {
--- a/crates/ivyweir-gateway/src/sync/confirm.rs
+++ b/crates/ivyweir-gateway/src/sync/confirm.rs
@@ -1,4 +1,4 @@
-//! Renewing the proof after a loss: only once the upstreams were received of too.
+//! Renewal of the proof after a loss, which requires a response about upstreams as well.
 
 use serde_json::json;
 use tokio::time::timeout;
@@ -7,33 +7,35 @@
 use crate::client::ANSWER_LIMIT;
 use crate::dialect::Topic;
 
-/// How often upstreams are waited for after a loss before the store's proof is renewed without them.
+/// Number of waits for upstreams after a loss before the store's proof is renewed without them.
 const MAX_FAILED_WAITS: u32 = 4;
 
-/// Who gave the answer that is to be confirmed.
+/// The source of a response that is to be confirmed.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ResponseSource {
     /// The store.
     Store,
     /// Another box.
     Peer {
-        /// Whether that box hears of the store's records itself, by the age of its proof.
+        /// Whether that box has a source of the store's records itself, judged by the age of its
+        /// proof.
         has_source: bool,
     },
 }
 
 impl ResponseSource {
-    /// Whether the answer shows what the store holds now.
+    /// Whether the response reflects the current state of the store.
     fn is_current(self) -> bool {
         matches!(self, Self::Store | Self::Peer { has_source: true })
     }
 }
 
 impl Follower {
-    /// Follows the adoption of an answer; returns whether it may renew the proof.
+    /// Called after a response was applied; returns whether it may renew the proof.
     ///
-    /// After a start or a loss it may only once the upstreams were received of too, from the store or a box that
-    /// hears it: those that left meanwhile must get no work from a box that is current otherwise.
+    /// After a start or a loss, it may only do so once the upstreams were received too, from the
+    /// store or a box that receives its records: upstreams that left in the meantime must get no
+    /// work from a box that is current otherwise.
     pub(super) async fn confirm(&mut self, source: ResponseSource) -> bool {
         if self.topic != Topic::Site {
             if self.topic == Topic::Upstreams && source.is_current() {
@@ -42,9 +44,9 @@
             }
             return false;
         }
-        // A box that has just started may know upstreams only from one that lost the store, whose proof may still be
-        // young enough for keyed requests: beside 4 busy processes one of 3 runs of the suite sent work to an
-        // upstream that had left.
+        // A box that has just started may have its upstreams only from a box that lost the store,
+        // whose proof may still be young enough for keyed requests. With 4 busy processes beside
+        // it, one of 3 runs of the test suite sent work to an upstream that had left.
         if !self.is_unconfirmed {
             if self.gateway.store_news.has_received_upstreams() {
                 return true;
@@ -59,25 +61,25 @@
             let detail = json!({"vain_waits": self.failed_waits});
             self.gateway.log.line("upstreams_unheard", detail);
         }
-        // A store that goes on answering about one thing and not the other is left to itself; of boxes there are others,
-        // and the store.
+        // A store that keeps responding about one topic but not the other is not waited for any
+        // longer. If the response came from a box, there are other boxes and the store to turn to.
         let gives_up =
             matches!(source, ResponseSource::Store) && self.failed_waits >= MAX_FAILED_WAITS;
         self.is_unconfirmed = !received && !gives_up;
         !self.is_unconfirmed
     }
 
-    /// Waits until the upstreams are received of, for a while; wakes whoever waits for the store's
-    /// return. Returns whether they were.
+    /// Requests upstreams and waits for them for a limited time, and wakes the tasks that wait for
+    /// the store to return. Returns whether the upstreams were received.
     async fn wait_for_upstreams(&self, source: ResponseSource) -> bool {
         let mut received = self.gateway.store_news.subscribe_upstreams();
-        // Whoever follows another box hears of upstreams only what changes, which may be nothing for a long
-        // time: boxes that tried a store that was out served no keyed request for 1.5 to 4 s after its
-        // return.
+        // A follower of another box receives only changes of upstreams, and there may be none for a
+        // long time: boxes that probed an unavailable store served no keyed request for 1.5 to 4 s
+        // after its return.
         self.gateway.store_news.request_upstreams();
         if let ResponseSource::Store = source {
             self.gateway.histories.set_store_responsive(true);
-            // A try of the store on its own has asked for a poll already.
+            // A probe requests the poll itself.
             if !self.is_probing {
                 self.gateway.store_news.request_poll();
             }
--- a/crates/ivyweir-gateway/src/sync/peer.rs
+++ b/crates/ivyweir-gateway/src/sync/peer.rs
@@ -1,4 +1,4 @@
-//! Following a topic at another box: the hall's relay, or the root.
+//! Follows a topic at another box: the hall's relay, or the root.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,23 +18,25 @@
 use crate::follow::{FollowResponse, ProofScope, Snapshot, follow_path};
 use crate::history::Requester;
 
-/// Shortest wait of a question about the configuration; the relay answers as soon as its own proof
+/// Minimum wait of a request about the configuration; the relay responds as soon as its own proof
 /// is renewed.
 const MIN_RELAY_SITE_WAIT_MS: u64 = 250;
-/// How long a box without a proof waits for the relay's next one.
+/// Wait of a box without a proof for the relay's next one.
 const FIRST_PROOF_WAIT_MS: u64 = 100;
-/// Time for a relay to answer, beyond the wait.
+/// Response timeout of a relay, in addition to the wait.
 const RELAY_ANSWER_LIMIT_MS: u64 = 500;
-/// The same for all records of a topic, and while boxes start together: a list of 3,000 upstreams passes a
-/// link of 10 Mbit/s in 0.1 s, and several boxes may get theirs at a time.
+/// The same for all records of a topic, and while boxes start together: a list of 3,000 upstreams
+/// takes 0.1 s over a link of 10 Mbit/s, and several boxes may receive theirs at a time.
 const COPY_LIMIT_MS: u64 = 2_000;
-/// Time for what a relay tells of other topics to come on connections of their own, beside its proof.
+/// Time for the relay's changes of other topics to arrive, as they come over other connections than
+/// its proof.
 const PROPAGATION_LIMIT: Duration = Duration::from_millis(60);
-/// Age of the proof from which the relay is taken to have lost the store.
+/// Age of the proof beyond which the relay is taken to have lost the store.
 const RELAY_PROOF_MAX_MS: u64 = 2_700;
 
 impl Follower {
-    /// Asks another box; returns where to go on.
+    /// Sends a request to another box and applies the response. Returns the revision to continue
+    /// from.
     pub(super) async fn query_box(
         &mut self,
         since: Revision,
@@ -62,7 +64,7 @@
         Ok(revision)
     }
 
-    /// Takes in that the box that was asked did not answer as it should.
+    /// Records that the box did not respond correctly.
     fn report_unresponsive(&mut self, relay: &BoxRecord, error: &BoxCallError) -> FetchError {
         self.connection = None;
         let now_ms = self.gateway.clock.now_ms();
@@ -73,10 +75,10 @@
         FetchError::Peer
     }
 
-    /// Judges by the age of the proof whether the box that answered has a source itself.
+    /// Judges by the age of the proof whether the box that responded has a source itself.
     fn check_freshness(&self, relay: &BoxRecord) {
-        // Boxes that start together wait for the root's first proof; left meanwhile, it and each that hears it
-        // would be asked for in turn, with longer and longer pauses.
+        // Boxes that start together wait for the root's first proof. If they left it before, the
+        // root and each box that follows it would be tried in turn, with increasing back-off.
         let Some(age_ms) = self.gateway.proof_age_ms() else {
             return;
         };
@@ -91,10 +93,10 @@
         self.gateway.log.line("peer_unhearing", detail);
     }
 
-    /// Takes in that the box that was asked does not hear of the store's records itself.
+    /// Records that the box has no source of the store's records itself.
     fn report_sourceless(&self, relay: &BoxRecord) -> FetchError {
-        // The configuration's follower finds another source for all topics, but not while it waits for this
-        // one: its own pause for the box that sends away may be over.
+        // The configuration's follower finds another source for all topics, but not while it waits
+        // for this follower: its own back-off for the box that refused may have passed.
         if self.topic != Topic::Site && !self.is_upstreams_requested() {
             return FetchError::NoSource;
         }
@@ -105,7 +107,7 @@
         FetchError::Peer
     }
 
-    /// Asks what changed behind `since`; gives up where another follower finds the box lost.
+    /// Requests the changes since a revision; gives up if another follower finds the box lost.
     async fn call_box(
         &mut self,
         since: Revision,
@@ -142,11 +144,11 @@
         Err(FetchError::Peer)
     }
 
-    /// How long a question waits: one about the configuration no longer than until this box is to
-    /// try the store, and not at all where an answer is wanted at once.
+    /// Wait of a request. One about the configuration ends when this box has to probe the store;
+    /// one whose response is needed at once does not wait.
     fn box_wait_ms(&self, is_upstreams_requested: bool) -> u64 {
         match self.topic {
-            // A box that has copied the configuration elsewhere needs only the proof.
+            // A box that has copied the configuration from elsewhere needs only the proof.
             Topic::Site if self.gateway.proof_at_ms().is_none() => return FIRST_PROOF_WAIT_MS,
             Topic::Site => {}
             _ if is_upstreams_requested => return 0,
@@ -158,7 +160,7 @@
         left_ms.min(most_ms).max(MIN_RELAY_SITE_WAIT_MS)
     }
 
-    /// Takes in an answer, and the proof that comes with it; returns where to go on.
+    /// Applies a response and the proof in it; returns the revision to continue from.
     async fn apply_response(
         &mut self,
         since: Revision,
@@ -188,14 +190,16 @@
             self.confirm(source).await;
             return Ok(revision);
         }
-        // In an outage relays answer with the proof that they had before it: there is nothing to confirm. And the
-        // proof is of what the relay knows, which the box that gave a copy may not know yet.
+        // During an outage, relays respond with the proof from before it, so there is nothing to
+        // confirm. The proof covers the state of the relay, which may be newer than that of the box
+        // that sent a copy.
         if let Some(proven_at_ms) = proven_at_ms
             && revision >= answer.revision
             && gateway.is_proof_older_than(proven_at_ms)
         {
-            // Other followers hear of upstreams and drained halls. Without what the relay knows of them, its proof would
-            // let this box go on with upstreams that left, and keep it from trying the store on its own.
+            // Upstreams and drained halls arrive through other followers. If this box renewed the
+            // proof without the relay's state of them, it would keep using upstreams that left, and
+            // it would not probe the store itself.
             let ProofScope {
                 upstreams,
                 drained_halls,
@@ -212,8 +216,8 @@
         Ok(revision)
     }
 
-    /// Whether this box knows of a topic what a relay knows whose last change of it has this revision; what is on its way
-    /// is waited for. A topic that is not followed binds nothing.
+    /// Whether this box has reached the relay's last change of a topic; waits a limited time for
+    /// changes still in transit. A topic that is not followed counts as reached.
     async fn has_reached(&self, topic: Topic, last_change_revision: Option<Revision>) -> bool {
         if !self.gateway.topics().contains(&topic) {
             return true;
@@ -230,7 +234,7 @@
         timeout(PROPAGATION_LIMIT, known).await.is_ok()
     }
 
-    /// Gets all records from a box that has them; returns their revision.
+    /// Copies all records from another box; returns their revision.
     async fn copy_from(&self, peer_addr: SocketAddr) -> Result<Revision, BoxCallError> {
         let me = &self.gateway.settings.box_name;
         let path = follow_path(self.topic, Revision::default(), 0, Requester::Copier, me);
@@ -261,7 +265,8 @@
         );
     }
 
-    /// Takes in that the box that was to give all records did not; the relay names another one.
+    /// Records that the box did not send all records. The relay names another one on the next
+    /// request.
     fn report_copy_failure(&self, error: &BoxCallError) -> FetchError {
         let detail = json!({"topic": self.topic.name(), "error": error.to_string()});
         self.gateway.log.line("copy_failed", detail);
--- a/crates/ivyweir-gateway/src/sync/probe.rs
+++ b/crates/ivyweir-gateway/src/sync/probe.rs
@@ -1,4 +1,4 @@
-//! Trying the store from a box that follows another, where that does not renew the proof.
+//! Probes of the store from a box that follows another, for when that box does not renew the proof.
 
 use ivyweir_policy::gateway::freshness::FreshnessProof;
 use ivyweir_policy::gateway::revision::Revision;
@@ -8,29 +8,30 @@
 use super::{FetchError, Follower};
 use crate::dialect::Topic;
 
-/// Pause before its second try, so that a box that is back in touch knows it within the three
-/// seconds that the users' pages leave it.
+/// Pause before the second probe, so that a box that regains the store detects it within the three
+/// seconds that the user pages allow.
 const SECOND_PROBE_PAUSE_MS: u64 = 2_500;
-/// Mean pause between further tries: the first part, and that for each box known, as each call is
-/// paid for.
+/// Mean pause between further probes: a fixed part and a part per known box, as each call has a
+/// cost.
 const PROBE_PAUSE_MS: u64 = 2_000;
 const PROBE_PAUSE_PER_BOX_MS: u64 = 100;
 
-/// Tries of the store since the proof was last renewed.
+/// Probes of the store since the proof was last renewed.
 pub(super) struct Probes {
-    /// When the proof was last seen to be newer than before, and that one.
+    /// Time at which a newer proof was last seen, and that proof.
     renewed_at_ms: u64,
     proof: FreshnessProof,
-    /// Tries since then.
+    /// Number of probes since then.
     count: u32,
-    /// When the next of them is due.
+    /// Time at which the next probe is due.
     next_at_ms: u64,
-    /// Time without a newer proof after which the first is due.
+    /// Time without a newer proof after which the first probe is due.
     unrenewed_ms: u64,
 }
 
 impl Probes {
-    /// None yet, on a box that starts now; the first is due `unrenewed_ms` after the last newer proof.
+    /// Creates the state of a starting box, without any probes; the first is due `unrenewed_ms`
+    /// after the last newer proof.
     pub fn new(unrenewed_ms: u64, now_ms: u64) -> Self {
         Self {
             renewed_at_ms: now_ms,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Takes in the time of the proof; one that is newer ends the tries.
+    /// Records the time of the proof; a newer one ends the probes.
     fn note_proof(&mut self, proven_at_ms: Option<i64>, now_ms: u64) {
         let Some(proven_at_ms) = proven_at_ms else {
             return;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether the next try is due.
+    /// Whether the next probe is due.
     fn is_due(&self, now_ms: u64) -> bool {
         if now_ms < self.renewed_at_ms + self.unrenewed_ms {
             return false;
@@ -61,7 +62,7 @@
         self.count == 0 || now_ms >= self.next_at_ms
     }
 
-    /// Counts a try, and sets the time of the next by the number of other boxes known.
+    /// Counts a probe and schedules the next by the number of other known boxes.
     fn begin(&mut self, boxes: u64, now_ms: u64) {
         self.count += 1;
         let pause_ms = if self.count == 1 {
@@ -73,15 +74,15 @@
         self.next_at_ms = now_ms + pause_ms;
     }
 
-    /// Time left until the first try is due, unless the proof is renewed before.
+    /// Time left until the first probe is due, unless the proof is renewed before.
     pub fn until_first_ms(&self, now_ms: u64) -> u64 {
         (self.renewed_at_ms + self.unrenewed_ms).saturating_sub(now_ms)
     }
 }
 
 impl Follower {
-    /// Whether this box is to try the store, since whoever it follows does not renew its proof. Only
-    /// the configuration's follower does; the others come after its success.
+    /// Whether this box has to probe the store, as the box that it follows does not renew its
+    /// proof. Only the configuration's follower probes; the others poll once it succeeds.
     pub(super) fn is_probe_due(&mut self) -> bool {
         if self.topic != Topic::Site {
             return false;
@@ -92,7 +93,7 @@
         self.probes.is_due(now_ms)
     }
 
-    /// Tries the store; a box that it answers stays with whoever it follows.
+    /// Probes the store once. This box keeps following its source even if the store responds.
     pub(super) async fn probe(
         &mut self,
         since: Option<Revision>,
@@ -105,19 +106,19 @@
             "probes": self.probes.count,
         });
         self.gateway.log.line("store_probed", detail);
-        // Upstreams that left meanwhile must be known before the proof is renewed.
+        // Upstreams that left in the meantime must be known before the proof is renewed.
         self.is_unconfirmed = true;
         self.poll(since).await
     }
 
-    /// Whether the configuration's follower found that the store answers, and wants the other
-    /// topics to hear it once too.
+    /// Whether the configuration's follower found the store responsive and requested that the other
+    /// topics poll it once.
     pub(super) fn is_poll_requested(&mut self) -> bool {
         let requests = self.gateway.store_news.poll_requests();
         std::mem::replace(&mut self.polls_seen, requests) != requests && self.topic != Topic::Site
     }
 
-    /// Hears of changes from the store once, without waiting for any.
+    /// Fetches changes from the store once, without waiting for any.
     pub(super) async fn poll(
         &mut self,
         since: Option<Revision>,
@@ -125,7 +126,7 @@
         self.is_probing = true;
         let result = self.fetch_from_store(since).await;
         self.is_probing = false;
-        // Whoever it follows is requests next, as before.
+        // The box that is followed is called next, as before the poll.
         result.map_err(|_| FetchError::Peer)
     }
 }
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -1,4 +1,4 @@
-//! Following a topic at the store itself.
+//! Follows a topic at the store.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -17,25 +17,27 @@
 use crate::state::Gateway;
 use crate::store_client::StoreResponse;
 
-/// How long a watch of the configuration waits. Each empty answer renews the proof that it is the
-/// newest, which must stay younger than the bound on withdrawn keys until the next one.
+/// Duration of a watch of the configuration. Each empty response renews the proof that the
+/// configuration is the newest. Until the next one, the proof must stay younger than the bound on
+/// withdrawn keys.
 const SITE_WATCH_MS: u64 = 1_200;
 const MIN_SITE_WATCH_MS: u64 = 200;
 /// Time beyond the wait after which a relay takes the store to be lost; a slow store takes 300 ms.
 const OVERDUE_MS: u64 = 500;
-/// Age at which the next proof must be there; it leaves a slow store some hundred milliseconds.
+/// Age of the proof at which the next one must have arrived; it leaves a slow store a few hundred
+/// milliseconds.
 const PROOF_DUE_MS: u64 = 2_300;
-/// How far a watch may lag behind what the store has acknowledged.
+/// Maximum lag of a watch behind what the store has acknowledged.
 const WATCH_LAG_MS: u64 = 1_000;
-/// Pause between a watch that saw changes and the next, so that changes in a row cost one call. The
-/// bounds on a configuration and on a leaving upstream are two seconds or more.
+/// Pause between a watch that returned changes and the next one, so that consecutive changes cost
+/// one call. The bounds on a configuration and on a leaving upstream are two seconds or more.
 const CHANGE_BATCH_MS: u64 = 300;
-/// How long a watch of upstreams waits. A call that a silent store took is never answered, and
-/// until it is given up a box does not hear who leaves.
+/// Duration of a watch of upstreams. A call that an unresponsive store accepted is never answered,
+/// and until it times out a box does not learn which upstreams leave.
 const UPSTREAMS_WATCH_MS: u64 = 4_000;
-/// How long the first watches after a failure, or after another box was asked, wait.
+/// Duration of the first watches after a failure or after another box was the source.
 const SHORT_WATCH_MS: u64 = 50;
-/// Time for the store to answer a try; a slow one takes 300 ms.
+/// Response timeout of the store for a probe; a slow store takes 300 ms.
 const PROBE_LIMIT: Duration = Duration::from_millis(700);
 
 impl Follower {
@@ -68,13 +70,14 @@
         Ok(revision)
     }
 
-    /// All records of the topic, and the revision behind which the watch tells the rest.
+    /// Reads all records of the topic, and the revision from which to watch for later changes.
     async fn read_pages(&mut self) -> Result<(Vec<Entry>, Revision), CallError> {
         let (first, era) = self.client.read_page(self.topic, None).await?;
         if Some(era) < self.gateway.store_era() {
             return Err(CallError::EraMismatch);
         }
-        // What changes while pages are read is told by the watch from the first page on.
+        // The watch starts at the first page's revision, so it returns whatever changes while pages
+        // are read.
         let revision = Revision::new(era, first.revision);
         let mut entries = first.entries;
         let mut after = first.next_after;
@@ -92,14 +95,16 @@
         Ok((entries.collect(), revision))
     }
 
-    /// Watches once; returns where to go on, or none if the topic is to be listed again.
+    /// Watches once. Returns the revision to continue from, or `None` if the topic must be listed
+    /// again.
     pub(super) async fn watch_store(&mut self, since: Revision) -> Result<Option<Revision>, ()> {
         let watched = self.watch(since).await;
         self.publish_store_status(watched.is_ok());
         watched
     }
 
-    /// Tells boxes that follow here, and the other topics' followers, whether the store answers.
+    /// Publishes whether the store responds to the boxes that follow here and to the followers of
+    /// the other topics.
     fn publish_store_status(&self, is_responsive: bool) {
         if self.topic != Topic::Site {
             return;
@@ -117,7 +122,8 @@
         let request = self.gateway.codec.watch(self.topic, since.number, wait_ms);
         let mut answer = self.call_store(request, wait_ms).await;
         if self.failures == 0 && matches!(answer, Err(CallError::Lost { .. })) {
-            // The store may cut a watch at any time; it is lost only if it does not answer then.
+            // The store may end a watch at any time; it is lost only if it does not respond to a
+            // retry.
             let request = self
                 .gateway
                 .codec
@@ -159,7 +165,8 @@
         Ok(Some(revision))
     }
 
-    /// Calls the store; one that is overdue is waited for, but no box should follow here meanwhile.
+    /// Calls the store. Once its response is overdue, this box keeps waiting but is no longer a
+    /// source for others.
     async fn call_store(
         &mut self,
         request: Request<Bytes>,
@@ -178,8 +185,8 @@
         } = &*self.gateway;
         let mut call = pin!(self.client.call(request, limit));
         if self.topic != Topic::Site {
-            // A store that was silent for a while never answers what it took then, so no long wait
-            // outlasts the loss that the short ones notice.
+            // A store that was unresponsive for a while never answers the calls that it accepted
+            // then. So a long wait ends as soon as the short ones detect the loss.
             return tokio::select! {
                 answer = call => answer,
                 () = store_news.wait_for_store_loss() => Err(CallError::GivenUp {
@@ -195,8 +202,8 @@
         call.await
     }
 
-    /// Reads the answer to a watch from a revision of `era`; `None` if the topic must be listed again, because the store
-    /// no longer has the history or answers from another era.
+    /// Decodes the response to a watch from a revision of `era`; `None` if the topic must be listed
+    /// again, because the store no longer has the history or responds from another era.
     fn decode(&self, era: u64, answer: &StoreResponse) -> Result<Option<Changes>, CallError> {
         match answer.status {
             StatusCode::GONE => Ok(None),
@@ -210,7 +217,7 @@
         }
     }
 
-    /// How long a watch waits for changes: at most until the store settles, when the topic is listed again.
+    /// Duration of a watch: at most until the store settles, when the topic is listed again.
     fn wait_ms(&self, is_upstreams_requested: bool) -> u64 {
         let settles_in_ms = self.gateway.store_settles_in_ms();
         let wait_ms = self.settled_wait_ms(is_upstreams_requested);
@@ -221,11 +228,12 @@
         }
     }
 
-    /// How long a watch of a settled store waits for changes; not at all if an answer is wanted at once.
+    /// Duration of a watch of a settled store; short if a response is needed at once.
     fn settled_wait_ms(&self, is_upstreams_requested: bool) -> u64 {
         match self.topic {
             _ if is_upstreams_requested => SHORT_WATCH_MS,
-            // After a failure the answer itself is news, so it must not wait for changes.
+            // After a failure the response itself is new information, so it must not wait for
+            // changes.
             _ if self.failures > 0 => SHORT_WATCH_MS,
             _ if self.is_probing || self.has_switched_to_store => SHORT_WATCH_MS,
             Topic::Upstreams => UPSTREAMS_WATCH_MS,
@@ -235,7 +243,8 @@
         }
     }
 
-    /// How long a watch of the configuration waits: its answer must come before the proof is due.
+    /// Duration of a watch of the configuration: its response must arrive before the next proof is
+    /// due.
     fn site_wait_ms(&self) -> u64 {
         let age_ms = self.gateway.proof_age_ms().unwrap_or(PROOF_DUE_MS);
         let left_ms = PROOF_DUE_MS.saturating_sub(age_ms);
@@ -249,10 +258,10 @@
     }
 }
 
-/// Until when an answer to a watch shows that nothing newer was acknowledged.
+/// Time up to which the response to a watch shows that nothing newer was acknowledged.
 ///
-/// One that came empty after its whole wait was made at the end of the wait; any other one shows
-/// only what held when it was asked for.
+/// An empty response after the whole wait was made at the end of the wait; any other one shows only
+/// what held when it was requested.
 fn proven_at(asked_at_ms: u64, answered_at_ms: u64, wait_ms: u64, is_empty: bool) -> u64 {
     let waited = answered_at_ms.saturating_sub(asked_at_ms) >= wait_ms;
     if is_empty && waited {
