--- a/crates/ivyweir-gateway/src/apply.rs
+++ b/crates/ivyweir-gateway/src/apply.rs
@@ -72,7 +72,7 @@
     };
     let listed: HashSet<&Name> = listed.iter().filter_map(Item::name).collect();
     for name in known.iter().filter(|name| !listed.contains(name)) {
-        remove(gateway, topic, name);
+        apply_deletion(gateway, topic, name);
     }
 }
 
@@ -126,7 +126,7 @@
     for change in changes.iter().cloned() {
         match change {
             RecordChange::Put(item) => apply_item(gateway, revision, item),
-            RecordChange::Deleted(name) => remove(gateway, topic, &name),
+            RecordChange::Deleted(name) => apply_deletion(gateway, topic, &name),
         }
     }
     let records = gateway.bulk(topic);
@@ -146,7 +146,7 @@
 }
 
 /// Applies the deletion of a record.
-fn remove(gateway: &Gateway, topic: Topic, name: &Name) {
+fn apply_deletion(gateway: &Gateway, topic: Topic, name: &Name) {
     match topic {
         Topic::Upstreams => gateway.change_upstream(Source::Record, |fleet, now_ms| {
             let change = fleet.mark_lapsed(name, now_ms);
--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -134,7 +134,7 @@
             }
             Err(SourceUnavailable::NotASource) => return bare(StatusCode::SERVICE_UNAVAILABLE),
             Err(reason @ (SourceUnavailable::Searching | SourceUnavailable::Pending)) => {
-                if !gateway.peers.is_settled() {
+                if !gateway.peers.is_membership_ready() {
                     sourceless_since_ms = None;
                 }
                 let wait_ms = source_wait_ms(&request, reason);
--- a/crates/ivyweir-gateway/src/history.rs
+++ b/crates/ivyweir-gateway/src/history.rs
@@ -36,7 +36,7 @@
 struct History {
     revision: Revision,
     /// A requester at an older revision needs all records.
-    compacted: Revision,
+    compacted_revision: Revision,
     changes: VecDeque<(Revision, RecordChange)>,
     source: TopicSource,
 }
@@ -128,7 +128,7 @@
         let mut topics = self.topics();
         let history = topics.entry(topic).or_default();
         history.revision = revision;
-        history.compacted = revision;
+        history.compacted_revision = revision;
         history.changes.clear();
         drop(topics);
         // Copies of the previous records do not reach this revision.
@@ -156,7 +156,7 @@
             .extend(changes.into_iter().map(|c| (revision, c)));
         while history.changes.len() > kept {
             if let Some((revision, _)) = history.changes.pop_front() {
-                history.compacted = revision;
+                history.compacted_revision = revision;
             }
         }
         drop(topics);
@@ -179,13 +179,13 @@
     /// Sets whether the store responds to this box in time. Waiting followers are woken on a
     /// change, so that they can move to another source.
     pub fn set_store_responsive(&self, is_responsive: bool) {
-        let status = if is_responsive {
+        let store_status = if is_responsive {
             StoreStatus::Responsive
         } else {
             StoreStatus::Unresponsive
         };
-        let before = std::mem::replace(&mut *self.status(), status);
-        if before != status {
+        let before = std::mem::replace(&mut *self.store_status(), store_status);
+        if before != store_status {
             self.notify();
         }
     }
@@ -199,12 +199,12 @@
 
     /// Whether the store responded to this box's last request about the configuration.
     pub fn is_store_responsive(&self) -> bool {
-        *self.status() == StoreStatus::Responsive
+        *self.store_status() == StoreStatus::Responsive
     }
 
     /// Whether the store has neither responded to nor failed any request of this box yet.
     pub fn is_store_untried(&self) -> bool {
-        *self.status() == StoreStatus::Untried
+        *self.store_status() == StoreStatus::Untried
     }
 
     /// Records a request from another box.
@@ -228,10 +228,13 @@
 
     /// Records that a box has a topic up to `since`, which may mean that it received its copy.
     pub fn record_copy_progress(&self, topic: Topic, since: Revision, name: &Name) {
-        let compacted = self.topics().get(&topic).map(|history| history.compacted);
-        let compacted = compacted.unwrap_or_default();
+        let compacted_revision = self
+            .topics()
+            .get(&topic)
+            .map(|history| history.compacted_revision);
+        let compacted_revision = compacted_revision.unwrap_or_default();
         if !since.is_zero()
-            && since >= compacted
+            && since >= compacted_revision
             && let Some(copy_transfers) = self.copy_transfers().get_mut(&topic)
         {
             copy_transfers.record_received(name);
@@ -261,7 +264,7 @@
         let _woken = timeout(limit, updates.changed()).await;
     }
 
-    fn status(&self) -> MutexGuard<'_, StoreStatus> {
+    fn store_status(&self) -> MutexGuard<'_, StoreStatus> {
         self.store_status
             .lock()
             .expect("invariant: no holder panics")
@@ -286,14 +289,14 @@
         let history = topics.get(&topic).ok_or(SourceUnavailable::Searching)?;
         // A box without any data is better served with the last known records than refused; the
         // proof tells it their age.
-        let is_new_requester = since.is_zero() && !history.compacted.is_zero();
+        let is_new_requester = since.is_zero() && !history.compacted_revision.is_zero();
         if requester == Requester::Copier && !is_new_requester {
             return Err(SourceUnavailable::NotASource);
         }
         if !is_new_requester {
             self.check_source(history.source, requester)?;
         }
-        if since < history.compacted {
+        if since < history.compacted_revision {
             return Ok(Some(Backlog::Snapshot(history.revision)));
         }
         let first = history.changes.partition_point(|(at, _)| *at <= since);
@@ -310,7 +313,7 @@
         let history = topics.get(&topic)?;
         self.check_source(history.source, requester).ok()?;
         let last = history.changes.back().map(|(revision, _)| *revision);
-        Some(last.unwrap_or(history.compacted))
+        Some(last.unwrap_or(history.compacted_revision))
     }
 
     /// Revision up to which this box has a topic; zero if it has no data yet.
@@ -326,10 +329,10 @@
         source: TopicSource,
         requester: Requester,
     ) -> Result<(), SourceUnavailable> {
-        let status = *self.status();
+        let store_status = *self.store_status();
         match (source, requester) {
-            (TopicSource::Store, _) if status == StoreStatus::Responsive => Ok(()),
-            (TopicSource::Store, _) if status == StoreStatus::Untried => {
+            (TopicSource::Store, _) if store_status == StoreStatus::Responsive => Ok(()),
+            (TopicSource::Store, _) if store_status == StoreStatus::Untried => {
                 Err(SourceUnavailable::Pending)
             }
             (TopicSource::Root, Requester::Follower) => Ok(()),
--- a/crates/ivyweir-gateway/src/join.rs
+++ b/crates/ivyweir-gateway/src/join.rs
@@ -58,7 +58,7 @@
 }
 
 /// Joins periodically for the lifetime of the process.
-pub async fn keep_joined(gateway: Arc<Gateway>) {
+pub async fn maintain_membership(gateway: Arc<Gateway>) {
     let mut joiner = Joiner {
         gateway,
         clients: HashMap::new(),
@@ -66,9 +66,9 @@
     };
     let mut pauses = INITIAL_INTERVALS_MS.iter();
     while joiner.gateway.stopping_for_ms().is_none() {
-        let up_ms = joiner.join_one().await;
+        let up_ms = joiner.join_any().await;
         let now_ms = joiner.gateway.clock.now_ms();
-        joiner.gateway.peers.merge(now_ms);
+        joiner.gateway.peers.rebuild_others(now_ms);
         joiner.update_membership_state(up_ms);
         let pause_ms = pauses.next().copied().unwrap_or(JOIN_INTERVAL_MS);
         sleep(Duration::from_millis(pause_ms)).await;
@@ -84,7 +84,7 @@
 impl Joiner {
     /// Joins at the next seed in turn, or at another one if it does not answer. Reloads the seeds
     /// and tries a known box if no seed answers. Returns the uptime of the box that answered.
-    async fn join_one(&mut self) -> Option<u64> {
+    async fn join_any(&mut self) -> Option<u64> {
         let seeds = self.gateway.peers.seeds();
         self.round += 1;
         for turn in 0..seeds.len() {
@@ -105,7 +105,7 @@
             .clients
             .entry(seed)
             .or_insert_with(|| Client::new(seed));
-        if !gateway.peers.is_settled() {
+        if !gateway.peers.is_membership_ready() {
             client.connect(STARTUP_CONNECT_LIMIT).await.ok()?;
         }
         let answer = box_call::post(client, JOIN_PATH, &message, ANSWER_LIMIT).await;
@@ -141,8 +141,8 @@
         };
         let peers = &self.gateway.peers;
         peers.set_fleet_starting(start.is_fleet_start());
-        if !peers.is_settled() && (start.can_choose_relay() || peers.is_only_seed()) {
-            peers.settle();
+        if !peers.is_membership_ready() && (start.can_choose_relay() || peers.is_only_seed()) {
+            peers.set_membership_ready();
             self.gateway.histories.notify();
         }
     }
--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -177,7 +177,7 @@
     if let Some(duties) = gateway.settings.duties {
         tokio::spawn(duties::run(gateway.clone(), duties));
     }
-    tokio::spawn(join::keep_joined(gateway.clone()));
+    tokio::spawn(join::maintain_membership(gateway.clone()));
     tokio::spawn(reports::exchange_reports(gateway.clone()));
     tokio::spawn(server::serve_peers(gateway.clone(), listeners.peers));
     tokio::spawn(sweep(gateway.clone()));
--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -59,7 +59,7 @@
     seed_lists: Mutex<SeedLists>,
     /// Other boxes, from the seeds' lists and the joins received here.
     others: Mutex<HashMap<Name, BoxRecord>>,
-    is_settled: AtomicBool,
+    is_membership_ready: AtomicBool,
     /// Whether all boxes may be starting together: the last seed that responded had started
     /// recently, or none responded.
     is_fleet_starting: AtomicBool,
@@ -90,7 +90,7 @@
             joined: Mutex::new(JoinedBoxes::new(run)),
             seed_lists: Mutex::new(SeedLists::new(me.hall.clone())),
             others: Mutex::default(),
-            is_settled: AtomicBool::new(false),
+            is_membership_ready: AtomicBool::new(false),
             is_fleet_starting: AtomicBool::new(true),
             fleet_size: AtomicUsize::new(0),
             backoffs: watch::Sender::default(),
@@ -141,7 +141,7 @@
     }
 
     /// Applies the changes of a seed's list of other boxes, `None` if it is unchanged. The caller
-    /// calls [`merge`](Self::merge) at the end of the round.
+    /// calls [`rebuild_others`](Self::rebuild_others) at the end of the round.
     pub fn apply_seed_list(&self, seed: SocketAddr, update: Option<MembershipUpdate>, now_ms: u64) {
         lock(&self.seed_lists).apply(seed, update, now_ms);
     }
@@ -154,15 +154,15 @@
     /// Adds a box that joins here.
     pub fn add_joined(&self, record: BoxRecord, now_ms: u64) {
         if lock(&self.joined).join(record, now_ms) {
-            self.merge(now_ms);
+            self.rebuild_others(now_ms);
         }
     }
 
     /// Calls a function with the boxes that joined here, after adding this one.
-    pub fn with_joined<T>(&self, now_ms: u64, look: impl FnOnce(&mut JoinedBoxes) -> T) -> T {
+    pub fn with_joined<T>(&self, now_ms: u64, f: impl FnOnce(&mut JoinedBoxes) -> T) -> T {
         let mut joined = lock(&self.joined);
         joined.join(self.me.clone(), now_ms);
-        look(&mut joined)
+        f(&mut joined)
     }
 
     /// Sets the number of boxes that joined at a seed.
@@ -177,7 +177,7 @@
     }
 
     /// Recomputes the set of other boxes, as some may have joined or stopped joining.
-    pub fn merge(&self, now_ms: u64) {
+    pub fn rebuild_others(&self, now_ms: u64) {
         let mut others = lock(&self.seed_lists).boxes();
         let joined = lock(&self.joined).list_for(&self.me.hall, now_ms);
         others.extend(joined.into_iter().map(|r| (r.name.clone(), r)));
@@ -207,13 +207,13 @@
     }
 
     /// Marks the list of boxes as complete enough to choose a relay.
-    pub fn settle(&self) {
-        self.is_settled.store(true, Ordering::Relaxed);
+    pub fn set_membership_ready(&self) {
+        self.is_membership_ready.store(true, Ordering::Relaxed);
     }
 
     /// Whether the list of boxes is complete enough to choose a relay.
-    pub fn is_settled(&self) -> bool {
-        self.is_settled.load(Ordering::Relaxed)
+    pub fn is_membership_ready(&self) -> bool {
+        self.is_membership_ready.load(Ordering::Relaxed)
     }
 
     /// Sets whether all boxes may be starting together.
--- a/crates/ivyweir-gateway/src/sync.rs
+++ b/crates/ivyweir-gateway/src/sync.rs
@@ -29,7 +29,7 @@
 /// Interval at which a box without a source looks for one among the others.
 const SOURCE_POLL: Duration = Duration::from_millis(200);
 /// Interval at which a starting box checks whether its list of boxes is complete enough.
-const SETTLE_POLL: Duration = Duration::from_millis(20);
+const MEMBERSHIP_POLL: Duration = Duration::from_millis(20);
 /// Longest wait for a change after a failed call about any topic but the configuration.
 const MAX_CHANGE_WAIT: Duration = Duration::from_millis(2_500);
 /// Duration of a watch of a topic that rarely changes; the kernel detects dead connections sooner.
@@ -37,8 +37,8 @@
 
 /// Follows one topic for the lifetime of the process.
 pub async fn follow(gateway: Arc<Gateway>, topic: Topic) {
-    while !gateway.peers.is_settled() {
-        sleep(SETTLE_POLL).await;
+    while !gateway.peers.is_membership_ready() {
+        sleep(MEMBERSHIP_POLL).await;
     }
     let mut follower = Follower::new(gateway, topic);
     let mut since = None;
--- a/crates/ivyweir-gateway/src/sync/peer.rs
+++ b/crates/ivyweir-gateway/src/sync/peer.rs
@@ -43,7 +43,7 @@
         relay: BoxRecord,
         requester: Requester,
     ) -> Result<Revision, FetchError> {
-        let asked_at_ms = self.gateway.clock.now_ms();
+        let requested_at_ms = self.gateway.clock.now_ms();
         let answer = self.call_box(since, &relay, requester).await?;
         if matches!(&answer, Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE) {
             return Err(self.report_sourceless(&relay));
@@ -53,7 +53,7 @@
             Err(error) => return Err(self.report_unresponsive(&relay, &error)),
         };
         self.failures = 0;
-        let revision = match self.apply_response(since, asked_at_ms, answer).await {
+        let revision = match self.apply_response(since, requested_at_ms, answer).await {
             Ok(revision) => revision,
             Err(error) => return Err(self.report_copy_failure(&error)),
         };
@@ -164,11 +164,11 @@
     async fn apply_response(
         &mut self,
         since: Revision,
-        asked_at_ms: u64,
+        requested_at_ms: u64,
         answer: FollowResponse,
     ) -> Result<Revision, BoxCallError> {
         let gateway = self.gateway.clone();
-        let proven_at_ms = answer.proven_at_ms(asked_at_ms, gateway.clock.now_ms());
+        let proven_at_ms = answer.proven_at_ms(requested_at_ms, gateway.clock.now_ms());
         let is_proven = answer
             .proof_age_ms
             .is_some_and(|age_ms| age_ms <= RELAY_PROOF_MAX_MS);
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -44,7 +44,7 @@
     /// Lists the topic; returns the revision to watch from.
     pub(super) async fn list(&mut self) -> Result<Revision, ()> {
         self.begin_request();
-        let asked_at_ms = self.gateway.clock.now_ms();
+        let requested_at_ms = self.gateway.clock.now_ms();
         let was_settled = self.gateway.is_store_settled();
         let (entries, mut revision) = match self.read_pages().await {
             Ok(listing) => listing,
@@ -64,7 +64,7 @@
         };
         apply_listing(&self.gateway, self.topic, revision, kind, entries);
         if self.confirm(ResponseSource::Store).await {
-            self.gateway.renew_proof(asked_at_ms.cast_signed());
+            self.gateway.renew_proof(requested_at_ms.cast_signed());
         }
         self.gateway.set_synced(self.topic);
         Ok(revision)
@@ -116,7 +116,7 @@
     }
 
     async fn watch(&mut self, since: Revision) -> Result<Option<Revision>, ()> {
-        let asked_at_ms = self.gateway.clock.now_ms();
+        let requested_at_ms = self.gateway.clock.now_ms();
         let is_upstreams_requested = self.begin_request();
         let wait_ms = self.wait_ms(is_upstreams_requested);
         let request = self.gateway.codec.watch(self.topic, since.number, wait_ms);
@@ -156,7 +156,7 @@
         let changes = readable_changes(&self.gateway, self.topic, changes);
         apply_changes(&self.gateway, self.topic, revision, changes);
         if self.confirm(ResponseSource::Store).await {
-            let proven_at_ms = proven_at(asked_at_ms, answered_at_ms, wait_ms, is_empty);
+            let proven_at_ms = proven_at(requested_at_ms, answered_at_ms, wait_ms, is_empty);
             self.gateway.renew_proof(proven_at_ms.cast_signed());
         }
         if !is_empty {
@@ -262,11 +262,11 @@
 ///
 /// An empty response after the whole wait was made at the end of the wait; any other one shows only
 /// what held when it was requested.
-fn proven_at(asked_at_ms: u64, answered_at_ms: u64, wait_ms: u64, is_empty: bool) -> u64 {
-    let waited = answered_at_ms.saturating_sub(asked_at_ms) >= wait_ms;
+fn proven_at(requested_at_ms: u64, answered_at_ms: u64, wait_ms: u64, is_empty: bool) -> u64 {
+    let waited = answered_at_ms.saturating_sub(requested_at_ms) >= wait_ms;
     if is_empty && waited {
-        asked_at_ms + wait_ms.saturating_sub(WATCH_LAG_MS)
+        requested_at_ms + wait_ms.saturating_sub(WATCH_LAG_MS)
     } else {
-        asked_at_ms
+        requested_at_ms
     }
 }
