--- a/crates/ivyweir-gateway/src/adopt.rs
+++ b/crates/ivyweir-gateway/src/apply.rs
@@ -1,5 +1,5 @@
-//! Takes in records that the store, or another box, told of, and keeps them for boxes that follow
-//! here.
+//! Applies records received from the store or from another box, and records the changes for the
+//! boxes that follow this one.
 
 use std::collections::HashSet;
 
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use crate::dialect::{Change, Entry, Item, Topic};
-use crate::history::PassedChange;
+use crate::history::RecordChange;
 use crate::state::Gateway;
 
 /// Whether a listing contains all records of its topic.
@@ -24,19 +24,19 @@
     Incomplete,
 }
 
-/// Adopts the records that a topic listing contains as of a revision.
-pub fn adopt_all(
+/// Applies a topic listing as of a revision.
+pub fn apply_listing(
     gateway: &Gateway,
     topic: Topic,
     revision: Revision,
     kind: ListingKind,
     entries: Vec<Entry>,
 ) {
-    adopt_entries(gateway, topic, revision, kind, entries);
-    gateway.histories.restart(topic, revision);
+    apply_entries(gateway, topic, revision, kind, entries);
+    gateway.histories.reset(topic, revision);
 }
 
-fn adopt_entries(
+fn apply_entries(
     gateway: &Gateway,
     topic: Topic,
     revision: Revision,
@@ -53,17 +53,18 @@
         });
         return;
     }
-    // A record that cannot be read may be one of those that are missing.
+    // An unreadable record may be one of those that seem to be missing.
     if items.len() == listed && kind == ListingKind::Complete {
-        remove_all_but(gateway, topic, &items);
+        remove_unlisted(gateway, topic, &items);
     }
     for item in items {
-        adopt_item(gateway, revision, item);
+        apply_item(gateway, revision, item);
     }
 }
 
-/// Forgets roll-outs and drained halls that a whole listing lacks: they were withdrawn unheard.
-fn remove_all_but(gateway: &Gateway, topic: Topic, listed: &[Item]) {
+/// Removes roll-outs and drained halls that a complete listing lacks. They were withdrawn while
+/// this box received no changes.
+fn remove_unlisted(gateway: &Gateway, topic: Topic, listed: &[Item]) {
     let known: Vec<Name> = match topic {
         Topic::Rollouts => gateway.with_rollouts(|rollouts, _| rollouts.keys().cloned().collect()),
         Topic::DrainedHalls => gateway.drained_halls(),
@@ -71,11 +72,12 @@
     };
     let listed: HashSet<&Name> = listed.iter().filter_map(Item::name).collect();
     for name in known.iter().filter(|name| !listed.contains(name)) {
-        remove(gateway, topic, name);
+        apply_deletion(gateway, topic, name);
     }
 }
 
-/// The records that can be read; the others are those of a whole listing.
+/// Returns the readable records, and replaces the topic's list of unreadable ones. `entries` must
+/// be a listing of the topic.
 fn readable_entries(gateway: &Gateway, topic: Topic, entries: Vec<Entry>) -> Vec<Item> {
     let mut items = Vec::new();
     let mut unreadable = Vec::new();
@@ -89,62 +91,62 @@
     items
 }
 
-/// The changes that can be read. An upstream's record that cannot be read any more names nobody, as one that is
-/// gone; of every other topic what was known before holds.
+/// Returns the readable changes. An unreadable upstream record counts as deleted; in every other
+/// topic the last readable record stays in force.
 pub fn readable_changes(
     gateway: &Gateway,
     topic: Topic,
     changes: Vec<Change>,
-) -> Vec<PassedChange> {
+) -> Vec<RecordChange> {
     let read = |change| match change {
         Change::Put(Ok(item)) => {
             gateway.note_readable(topic, item.name());
-            Some(PassedChange::Put(item))
+            Some(RecordChange::Put(item))
         }
         Change::Put(Err(e)) => {
             let name = e.name.clone().filter(|_| topic == Topic::Upstreams);
             gateway.note_unreadable(topic, e);
-            name.map(PassedChange::Gone)
+            name.map(RecordChange::Deleted)
         }
         Change::Gone(name) => {
             gateway.note_readable(topic, Some(&name));
-            Some(PassedChange::Gone(name))
+            Some(RecordChange::Deleted(name))
         }
     };
     changes.into_iter().filter_map(read).collect()
 }
 
-/// Takes in changes of a topic, up to a revision.
-pub fn adopt_changes(
+/// Applies changes of a topic, up to a revision.
+pub fn apply_changes(
     gateway: &Gateway,
     topic: Topic,
     revision: Revision,
-    changes: Vec<PassedChange>,
+    changes: Vec<RecordChange>,
 ) {
     for change in changes.iter().cloned() {
         match change {
-            PassedChange::Put(item) => adopt_item(gateway, revision, item),
-            PassedChange::Gone(name) => remove(gateway, topic, &name),
+            RecordChange::Put(item) => apply_item(gateway, revision, item),
+            RecordChange::Deleted(name) => apply_deletion(gateway, topic, &name),
         }
     }
     let records = gateway.approximate_len(topic);
-    gateway.histories.push(topic, revision, changes, records);
+    gateway.histories.append(topic, revision, changes, records);
 }
 
-fn adopt_item(gateway: &Gateway, revision: Revision, item: Item) {
+fn apply_item(gateway: &Gateway, revision: Revision, item: Item) {
     match item {
-        Item::Site(site) => adopt_site(gateway, revision, *site),
+        Item::Site(site) => apply_site(gateway, revision, *site),
         Item::Upstream(record) => gateway.update_fleet(Source::Record, |fleet, now_ms| {
             let id = record.id.clone();
             vec![(id, fleet.put(record, now_ms))]
         }),
-        Item::Rollout(order) => adopt_rollout(gateway, order),
+        Item::Rollout(order) => apply_rollout(gateway, order),
         Item::DrainedHall(hall) => gateway.drain_hall(hall),
     }
 }
 
-/// Takes in that the record of this name is gone.
-fn remove(gateway: &Gateway, topic: Topic, name: &Name) {
+/// Applies the deletion of a record.
+fn apply_deletion(gateway: &Gateway, topic: Topic, name: &Name) {
     match topic {
         Topic::Upstreams => gateway.update_fleet(Source::Record, |fleet, now_ms| {
             let change = fleet.mark_lapsed(name, now_ms);
@@ -156,13 +158,13 @@
             gateway.log.line("rollout_withdrawn", detail);
         }
         Topic::DrainedHalls => gateway.undrain_hall(name),
-        // A configuration is replaced, never taken away.
+        // The configuration is only ever replaced, so its deletion is logged and otherwise ignored.
         Topic::Site => gateway.log.line("site_removed", json!({"name": name})),
     }
 }
 
-/// Takes in a roll-out's record.
-pub fn adopt_rollout(gateway: &Gateway, order: RolloutOrder) {
+/// Applies a roll-out record.
+pub fn apply_rollout(gateway: &Gateway, order: RolloutOrder) {
     let detail = json!({
         "pool": order.pool, "target_version": order.target_version,
         "state": order.state, "revision": order.store_revision().to_string(),
@@ -179,7 +181,7 @@
     });
 }
 
-fn adopt_site(gateway: &Gateway, revision: Revision, mut site: SiteConfig) {
+fn apply_site(gateway: &Gateway, revision: Revision, mut site: SiteConfig) {
     let (version, routes) = (site.version, site.routes.len());
     for pool in &mut site.pools {
         if let Some(start) = pool.cold_start.take_if(|start| !start.is_valid()) {
--- a/crates/ivyweir-gateway/src/gather.rs
+++ b/crates/ivyweir-gateway/src/buffer.rs
@@ -1,4 +1,4 @@
-//! Reads an answer that is no stream as a whole before it is passed on.
+//! Buffers a response that is not a stream before it is passed on.
 
 use std::time::Duration;
 
@@ -16,11 +16,15 @@
 use crate::refusal::Reason;
 use crate::state::Gateway;
 
-/// Largest answer that is gathered before it is passed on.
-const WHOLE_ANSWER_BYTES: usize = 4 << 20;
+/// Largest response body that is buffered.
+const MAX_BUFFERED_BYTES: usize = 4 << 20;
 
-/// Reads a whole answer and passes it on; gives the upstream where it broke off.
-pub async fn gather(
+/// Reads a response completely and passes it on.
+///
+/// # Errors
+///
+/// Returns the upstream's name if the response is not received completely.
+pub async fn buffer_response(
     gateway: &Gateway,
     job: &Job,
     reply: Reply,
@@ -41,7 +45,7 @@
     let mut replaced = gateway.watch_replacement(&upstream);
     let body = tokio::select! {
         biased;
-        body = timeout(limit, Limited::new(body, WHOLE_ANSWER_BYTES).collect()) => body,
+        body = timeout(limit, Limited::new(body, MAX_BUFFERED_BYTES).collect()) => body,
         () = replaced.replaced(gateway) => {
             lease.broke();
             trace.fail("upstream_replaced", json!({"upstream": upstream}));
@@ -76,13 +80,14 @@
     } else {
         trace.step("answered", detail);
     }
-    // Only an upstream's own word makes 429, 503 and the like true; it was heard before.
-    if promises_not_run(head.status.as_u16()) {
+    // Statuses such as 429 and 503 tell the caller that the request was not run. Only the
+    // upstream's own statement establishes that, and it was evaluated earlier.
+    if is_not_run_status(head.status.as_u16()) {
         return Ok(Reason::AnswerLost.into_answer(false));
     }
     Ok(Response::from_parts(head, whole(bytes)))
 }
 
-fn promises_not_run(status: u16) -> bool {
+fn is_not_run_status(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Answers boxes that follow a topic here: this box is their hall's relay, or the root.
+//! Serves boxes that follow a topic at this box, which is their hall's relay or the root.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,126 +13,133 @@
 
 use crate::answer::{AnswerBody, bare, message};
 use crate::dialect::{Item, Topic};
-use crate::history::{Asker, Behind, NoSource, PassedChange};
+use crate::history::{Backlog, RecordChange, Requester, SourceUnavailable};
 use crate::state::Gateway;
 
-/// Where a topic is followed.
+/// HTTP path for following a topic.
 pub const FOLLOW_PATH: &str = "/peer/follow";
-/// Longest wait of a question.
+/// Longest time for which a request is held open.
 const MAX_WAIT_MS: u64 = 20_000;
-/// Time for which a follower's question waits while this box looks for another source.
-const SOURCE_CHANGE_MS: u64 = 400;
-/// The same for a relay that takes this box for the root: it may soon be, but another one may be it
-/// already.
-const ROOT_CHANGE_MS: u64 = 150;
-
-/// The same for a box that knows nothing yet, while this one waits for the store's first answer. A
-/// configuration of 1,600 routes takes 0.3 s over a link of 10 Mbit/s; a box that is sent away looks for
-/// another root, which asks the store for all of it too.
-const FIRST_ANSWER_MS: u64 = 600;
-
-/// Pause before it is looked again for a box that gives all records of a topic.
-const COPY_PAUSE_MS: u64 = 40;
-/// Records, or routes of a configuration, up to which all of them are given to whoever asks: 75 boxes get
-/// as many over a link of 10 Mbit/s in half a second.
-const BULK_INLINE: usize = 256;
-
-/// What changed behind a revision.
+/// Time for which a follower's request is held open while this box looks for another source.
+const FOLLOWER_SOURCE_WAIT_MS: u64 = 400;
+/// The same for a request of a relay, which takes this box for the root. This box may become the
+/// root soon, but another box may already be.
+const RELAY_SOURCE_WAIT_MS: u64 = 150;
+
+/// The same for a box without any data, while this box waits for the store's first response. A
+/// configuration of 1,600 routes takes 0.3 s over a link of 10 Mbit/s; a box that is refused looks
+/// for another root, which also reads everything from the store.
+const FIRST_RESPONSE_WAIT_MS: u64 = 600;
+
+/// Interval between attempts to find a box that can send all records of a topic.
+const COPY_RETRY_MS: u64 = 40;
+/// Number of records, or routes of a configuration, up to which every requester is sent all of them
+/// directly: 75 boxes receive as many over a link of 10 Mbit/s in half a second.
+const MAX_INLINE_RECORDS: usize = 256;
+
+/// The changes of a topic since a revision.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct FollowAnswer {
-    /// The store's revision up to which this holds.
+pub struct FollowResponse {
+    /// Store revision up to which this response is complete.
     pub revision: Revision,
-    /// All records, for who is too far behind.
-    pub whole: Option<Whole>,
-    /// Changes in order.
-    pub changes: Vec<PassedChange>,
-    /// Time between the question and this answer.
+    /// All records, for a requester that is too far behind.
+    #[serde(rename = "whole")]
+    pub snapshot: Option<Snapshot>,
+    /// Changes, oldest first.
+    pub changes: Vec<RecordChange>,
+    /// Time between the request and this response.
     pub held_ms: u64,
     /// Age of the proof that the configuration is the newest.
     pub proof_age_ms: Option<u64>,
-    /// For which state of other topics the proof vouches. It is of no use to a box that knows less: the box would take it
-    /// for a proof of what it knows itself.
-    #[serde(default)]
-    pub vouches: Vouches,
+    /// The state of other topics that the proof covers. A box that is behind it must not use the
+    /// proof: it would take it for a proof of its own, older state.
+    #[serde(default, rename = "vouches")]
+    pub proof_scope: ProofScope,
 }
 
-/// Revisions of the last changes that a box with a proof knows; none of a topic of which it does not hear itself.
+/// Revisions of the last changes known to a box with a proof; `None` for a topic for which that box
+/// is not a source.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Vouches {
-    /// Of upstreams.
+pub struct ProofScope {
+    /// Last change of an upstream.
     pub upstreams: Option<Revision>,
-    /// Of drained halls.
+    /// Last change of a drained hall.
     pub drained_halls: Option<Revision>,
 }
 
-impl Vouches {
-    /// What this box vouches for to who asks.
-    fn of(gateway: &Gateway, asker: Asker) -> Self {
-        let changed_at = |topic| gateway.histories.changed_at(topic, asker);
+impl ProofScope {
+    /// Returns the state that this box's proof covers for a requester.
+    fn of(gateway: &Gateway, requester: Requester) -> Self {
+        let last_change_revision = |topic| gateway.histories.last_change_revision(topic, requester);
         Self {
-            upstreams: changed_at(Topic::Upstreams),
-            drained_halls: changed_at(Topic::DrainedHalls),
+            upstreams: last_change_revision(Topic::Upstreams),
+            drained_halls: last_change_revision(Topic::DrainedHalls),
         }
     }
 }
 
-/// All records of a topic.
+/// All records of a topic, or where to get them.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Whole {
+pub enum Snapshot {
     /// The records.
-    Here(Vec<Item>),
-    /// Another box gives them: this one gives them to several boxes already.
-    At(SocketAddr),
+    #[serde(rename = "here")]
+    Inline(Vec<Item>),
+    /// Another box has them. This one is already sending them to several boxes.
+    #[serde(rename = "at")]
+    Redirect(SocketAddr),
 }
 
-impl FollowAnswer {
-    /// When the proof dates from by the clock of the box that asked at `asked_at_ms`; none if there is none.
-    pub fn proven_at_ms(&self, asked_at_ms: u64, now_ms: u64) -> Option<i64> {
+impl FollowResponse {
+    /// Time of the proof by the clock of the box that sent the request at `requested_at_ms`; `None`
+    /// if there is no proof.
+    pub fn proven_at_ms(&self, requested_at_ms: u64, now_ms: u64) -> Option<i64> {
         let age_ms = i64::try_from(self.proof_age_ms?).unwrap_or(i64::MAX);
-        // The answer came no sooner than it says, so its proof is no older than this.
-        let answered_at_ms = asked_at_ms.saturating_add(self.held_ms).min(now_ms);
+        // The response was sent at least `held_ms` after the request, so its proof is no older than
+        // this.
+        let answered_at_ms = requested_at_ms.saturating_add(self.held_ms).min(now_ms);
         Some(answered_at_ms.cast_signed().saturating_sub(age_ms))
     }
 }
 
-/// Answers a box that follows a topic here.
-pub async fn answer(gateway: &Arc<Gateway>, query: Option<&str>) -> Response<AnswerBody> {
-    let Some(question) = query.and_then(Question::parse) else {
+/// Handles a request of a box that follows a topic here.
+pub async fn handle(gateway: &Arc<Gateway>, query: Option<&str>) -> Response<AnswerBody> {
+    let Some(request) = query.and_then(FollowRequest::parse) else {
         return bare(StatusCode::BAD_REQUEST);
     };
-    let asked_at_ms = gateway.clock.now_ms();
+    let received_at_ms = gateway.clock.now_ms();
     let histories = &gateway.histories;
-    histories.asked(asked_at_ms);
-    histories.note_copy(question.topic, question.since, &question.from);
-    let until_ms = asked_at_ms + question.wait_ms;
-    let mut news = histories.news();
+    histories.record_request(received_at_ms);
+    histories.record_copy_progress(request.topic, request.since, &request.from);
+    let until_ms = received_at_ms + request.wait_ms;
+    let mut updates = histories.subscribe();
     let proof_at_ms = gateway.proof_asked_at_ms();
     let mut sourceless_since_ms = None;
     loop {
         let now_ms = gateway.clock.now_ms();
-        let wake_ms = match histories.behind(question.topic, question.since, question.asker) {
-            Ok(behind) => {
+        let wake_ms = match histories.changes_since(request.topic, request.since, request.requester)
+        {
+            Ok(backlog) => {
                 sourceless_since_ms = None;
                 let renewed =
-                    question.topic == Topic::Site && gateway.proof_asked_at_ms() > proof_at_ms;
-                if behind.is_some() || renewed || now_ms >= until_ms {
-                    let held_ms = now_ms - asked_at_ms;
-                    match follow_answer(gateway, &question, behind, held_ms) {
-                        Some(answer) => return message(&answer),
-                        None => now_ms + COPY_PAUSE_MS,
+                    request.topic == Topic::Site && gateway.proof_asked_at_ms() > proof_at_ms;
+                if backlog.is_some() || renewed || now_ms >= until_ms {
+                    let held_ms = now_ms - received_at_ms;
+                    match follow_response(gateway, &request, backlog, held_ms) {
+                        Some(response) => return message(&response),
+                        None => now_ms + COPY_RETRY_MS,
                     }
                 } else {
                     until_ms
                 }
             }
-            Err(NoSource::AtAll) => return bare(StatusCode::SERVICE_UNAVAILABLE),
-            Err(why @ (NoSource::ForNow | NoSource::NotYet)) => {
-                if !gateway.peers.is_settled() {
+            Err(SourceUnavailable::NotASource) => return bare(StatusCode::SERVICE_UNAVAILABLE),
+            Err(reason @ (SourceUnavailable::Searching | SourceUnavailable::Pending)) => {
+                if !gateway.peers.is_membership_ready() {
                     sourceless_since_ms = None;
                 }
-                let change_ms = source_change_ms(&question, why);
-                let limit_ms = *sourceless_since_ms.get_or_insert(now_ms) + change_ms;
+                let wait_ms = source_wait_ms(&request, reason);
+                let limit_ms = *sourceless_since_ms.get_or_insert(now_ms) + wait_ms;
                 if now_ms >= limit_ms {
                     return bare(StatusCode::SERVICE_UNAVAILABLE);
                 }
@@ -140,109 +147,122 @@
             }
         };
         let left = Duration::from_millis(wake_ms - now_ms);
-        // Woken or not, the state itself is looked at again.
-        let _woken = timeout(left, news.changed()).await;
+        // The loop checks the state again whether or not there was an update.
+        let _woken = timeout(left, updates.changed()).await;
     }
 }
 
-/// Time for which a question waits while this box has no source.
-fn source_change_ms(question: &Question, why: NoSource) -> u64 {
-    match question.asker {
-        _ if why == NoSource::NotYet && question.since.is_zero() => FIRST_ANSWER_MS,
-        Asker::Follower => SOURCE_CHANGE_MS,
-        Asker::Relay | Asker::Copier => ROOT_CHANGE_MS,
+/// Time for which a request is held open while this box has no source.
+fn source_wait_ms(request: &FollowRequest, reason: SourceUnavailable) -> u64 {
+    match request.requester {
+        _ if reason == SourceUnavailable::Pending && request.since.is_zero() => {
+            FIRST_RESPONSE_WAIT_MS
+        }
+        Requester::Follower => FOLLOWER_SOURCE_WAIT_MS,
+        Requester::Relay | Requester::Copier => RELAY_SOURCE_WAIT_MS,
     }
 }
 
-/// The answer to a question about a topic; none where all records are to be given and nobody can give them
-/// now.
-fn follow_answer(
+/// Builds the response to a request; `None` if all records are needed and no box can send them now.
+fn follow_response(
     gateway: &Gateway,
-    question: &Question,
-    behind: Option<Behind>,
+    request: &FollowRequest,
+    backlog: Option<Backlog>,
     held_ms: u64,
-) -> Option<FollowAnswer> {
-    let (revision, whole, changes) = match behind {
-        None => (question.since, None, Vec::new()),
-        Some(Behind::Whole(revision)) => (revision, Some(whole(gateway, question)?), Vec::new()),
-        Some(Behind::Changes(revision, changes)) => (revision, None, changes),
+) -> Option<FollowResponse> {
+    let (revision, snapshot, changes) = match backlog {
+        None => (request.since, None, Vec::new()),
+        Some(Backlog::Snapshot(revision)) => {
+            (revision, Some(snapshot(gateway, request)?), Vec::new())
+        }
+        Some(Backlog::Changes(revision, changes)) => (revision, None, changes),
     };
-    Some(FollowAnswer {
+    Some(FollowResponse {
         revision,
-        whole,
+        snapshot,
         changes,
         held_ms,
         proof_age_ms: gateway.proof_age_ms(),
-        vouches: Vouches::of(gateway, question.asker),
+        proof_scope: ProofScope::of(gateway, request.requester),
     })
 }
 
-/// All records of a topic, or who gives them; none where nobody can now.
-fn whole(gateway: &Gateway, question: &Question) -> Option<Whole> {
-    let here = || Whole::Here(gateway.items(question.topic));
-    if question.asker != Asker::Follower || gateway.approximate_len(question.topic) <= BULK_INLINE {
+/// Returns all records of a topic, or the box that has them; `None` if no box can send them now.
+fn snapshot(gateway: &Gateway, request: &FollowRequest) -> Option<Snapshot> {
+    let here = || Snapshot::Inline(gateway.items(request.topic));
+    if request.requester != Requester::Follower
+        || gateway.approximate_len(request.topic) <= MAX_INLINE_RECORDS
+    {
         return Some(here());
     }
     let now_ms = gateway.clock.now_ms();
-    let copies = &gateway.histories;
-    match copies.give_copy(question.topic, &question.from, now_ms) {
+    let histories = &gateway.histories;
+    match histories.assign_copy_source(request.topic, &request.from, now_ms) {
         CopySource::Local => Some(here()),
-        // A box that is not known here any more gives nothing.
-        CopySource::Peer(name) => Some(gateway.peers.addr_of(&name).map_or_else(here, Whole::At)),
+        // The assigned box is no longer known here, so it cannot send anything.
+        CopySource::Peer(name) => Some(
+            gateway
+                .peers
+                .addr_of(&name)
+                .map_or_else(here, Snapshot::Redirect),
+        ),
         CopySource::Unavailable => None,
     }
 }
 
-/// What a box asks for.
-struct Question {
+/// The parameters of a follow request.
+struct FollowRequest {
     topic: Topic,
     from: Name,
-    asker: Asker,
+    requester: Requester,
     since: Revision,
     wait_ms: u64,
 }
 
-impl Question {
-    /// Reads `topic=NAME&since=REVISION&wait_ms=N&asker=relay&from=NAME`, or another asker.
+impl FollowRequest {
+    /// Parses `topic=NAME&since=REVISION&wait_ms=N&asker=relay&from=NAME`. Any other value of
+    /// `asker` but `copier` means a follower.
     fn parse(query: &str) -> Option<Self> {
         let field = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
         };
         let wait_ms: u64 = field("wait_ms")?.parse().ok()?;
-        let asker = match field("asker") {
-            Some(RELAY) => Asker::Relay,
-            Some(COPIER) => Asker::Copier,
-            _ => Asker::Follower,
+        let requester = match field("asker") {
+            Some(REQUESTER_RELAY) => Requester::Relay,
+            Some(REQUESTER_COPIER) => Requester::Copier,
+            _ => Requester::Follower,
         };
         Some(Self {
             topic: Topic::from_name(field("topic")?)?,
             from: field("from")?.into(),
-            asker,
+            requester,
             since: field("since")?.parse().ok()?,
             wait_ms: wait_ms.min(MAX_WAIT_MS),
         })
     }
 }
 
-/// How a box names itself in a question, by what it is to the box that it asks.
-const RELAY: &str = "relay";
-const FOLLOWER: &str = "follower";
-const COPIER: &str = "copier";
+/// Values of the `asker` parameter: the requester's role towards the box that it calls.
+const REQUESTER_RELAY: &str = "relay";
+const REQUESTER_FOLLOWER: &str = "follower";
+const REQUESTER_COPIER: &str = "copier";
 
-/// The path and query at which the box `from` follows a topic.
+/// Returns the path and query with which the box `from` follows a topic.
 pub fn follow_path(
     topic: Topic,
     since: Revision,
     wait_ms: u64,
-    asker: Asker,
+    requester: Requester,
     from: &str,
 ) -> String {
     let topic = topic.name();
-    let asker = match asker {
-        Asker::Relay => RELAY,
-        Asker::Follower => FOLLOWER,
-        Asker::Copier => COPIER,
+    let requester = match requester {
+        Requester::Relay => REQUESTER_RELAY,
+        Requester::Follower => REQUESTER_FOLLOWER,
+        Requester::Copier => REQUESTER_COPIER,
     };
-    format!("{FOLLOW_PATH}?topic={topic}&since={since}&wait_ms={wait_ms}&asker={asker}&from={from}")
+    format!(
+        "{FOLLOW_PATH}?topic={topic}&since={since}&wait_ms={wait_ms}&asker={requester}&from={from}"
+    )
 }
--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -17,10 +17,11 @@
 //! ```
 
 mod admit;
-mod adopt;
 mod answer;
+mod apply;
 mod attempt;
 mod box_call;
+mod buffer;
 mod channel;
 pub mod client;
 pub mod clock;
@@ -28,7 +29,6 @@
 mod duties;
 mod ends;
 mod follow;
-mod gather;
 pub mod headers;
 pub mod history;
 mod job;
@@ -42,25 +42,28 @@
 mod pipeline;
 mod quarantine_sync;
 mod refusal;
+mod reports;
 mod rollout_driver;
 mod server;
 mod settings;
 pub mod settings_file;
 mod state;
 mod store_client;
-mod store_news;
+mod store_events;
 mod stream;
 mod sync;
 mod tries;
-mod words;
 
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
+use clock::{Clock, Suspension};
 use hyper::StatusCode;
+use log::Log;
 use serde_json::json;
+use state::Gateway;
 use tokio::net::TcpListener;
 use tokio::runtime;
 use tokio::signal::unix::{SignalKind, signal};
@@ -68,10 +71,6 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use clock::{Clock, Suspension};
-use log::Log;
-use state::Gateway;
-
 pub use dialect::{Adapter, Dialect, DutyCodec, StoreCodec};
 pub use settings::{Bounds, DialectChoice, Machine, Settings};
 pub use settings_file::SettingsError;
@@ -177,8 +176,8 @@
     if let Some(duties) = gateway.settings.duties {
         tokio::spawn(duties::run(gateway.clone(), duties));
     }
-    tokio::spawn(join::keep_joined(gateway.clone()));
-    tokio::spawn(words::exchange(gateway.clone()));
+    tokio::spawn(join::maintain_membership(gateway.clone()));
+    tokio::spawn(reports::exchange_reports(gateway.clone()));
     tokio::spawn(server::serve_peers(gateway.clone(), listeners.peers));
     tokio::spawn(sweep(gateway.clone()));
     let (balancer, metrics) = (listeners.balancer, listeners.metrics);
--- a/crates/ivyweir-gateway/src/quarantine_sync.rs
+++ b/crates/ivyweir-gateway/src/quarantine_sync.rs
@@ -16,7 +16,7 @@
 
 use crate::client::{ANSWER_LIMIT, CallError};
 use crate::state::Gateway;
-use crate::store_client::{StoreAnswer, StoreClient};
+use crate::store_client::{StoreClient, StoreResponse};
 
 /// Interval between checks for quarantines to write.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
@@ -116,7 +116,7 @@
     }
 
     /// Decodes the records of a listing; logs and skips those that cannot be decoded.
-    fn decode_records(&self, answer: &StoreAnswer) -> Result<Vec<QuarantineRecord>, CallError> {
+    fn decode_records(&self, answer: &StoreResponse) -> Result<Vec<QuarantineRecord>, CallError> {
         let entries = self.gateway.store_codec.quarantines(&answer.body);
         let mut records = Vec::new();
         for entry in entries.map_err(CallError::unreadable)? {
@@ -159,7 +159,7 @@
         }
     }
 
-    async fn call(&mut self, request: Request<Bytes>) -> Result<StoreAnswer, CallError> {
+    async fn call(&mut self, request: Request<Bytes>) -> Result<StoreResponse, CallError> {
         let answer = self.client.call(request, ANSWER_LIMIT).await;
         let outcome = if answer.is_ok() { "ok" } else { "failed" };
         let calls = &self.gateway.metrics.store_calls;
--- a/crates/ivyweir-gateway/src/rollout_driver.rs
+++ b/crates/ivyweir-gateway/src/rollout_driver.rs
@@ -9,11 +9,11 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::adopt::adopt_rollout;
+use crate::apply::apply_rollout;
 use crate::client::ANSWER_LIMIT;
 use crate::state::Gateway;
 use crate::state::tally_json;
-use crate::store_client::{StoreAnswer, StoreClient};
+use crate::store_client::{StoreClient, StoreResponse};
 
 /// Interval between checks for due writes.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -118,7 +118,7 @@
 }
 
 /// Applies the record in the answer; returns whether it was written by this box or another, or why that is unknown.
-fn apply_answer(gateway: &Gateway, answer: &StoreAnswer) -> Result<&'static str, String> {
+fn apply_answer(gateway: &Gateway, answer: &StoreResponse) -> Result<&'static str, String> {
     let outcome = match answer.status {
         StatusCode::OK => "written",
         StatusCode::CONFLICT => "conflict",
@@ -127,6 +127,6 @@
     let record = gateway.store_codec.rollout(&answer.body);
     let mut record = record.map_err(|e| e.to_string())?;
     record.era = answer.era;
-    adopt_rollout(gateway, record);
+    apply_rollout(gateway, record);
     Ok(outcome)
 }
--- a/crates/ivyweir-gateway/src/state/freshness.rs
+++ b/crates/ivyweir-gateway/src/state/freshness.rs
@@ -21,7 +21,7 @@
             return;
         }
         lock(&self.proof).renew(asked_at_ms);
-        self.histories.tell();
+        self.histories.notify();
     }
 
     /// Time of the newest proof by this box's clock; `None` if there is none.
--- a/crates/ivyweir-gateway/src/state/scaling.rs
+++ b/crates/ivyweir-gateway/src/state/scaling.rs
@@ -11,10 +11,10 @@
     /// Requests in progress on all boxes, by pool; `None` if there is no recent report from some hall.
     pub fn fleet_running_requests(&self) -> Option<HashMap<Name, f64>> {
         let now_ms = self.clock.now_ms();
-        if !self.peers.hears_all_halls(now_ms) {
+        if !self.peers.has_reports_from_all_halls(now_ms) {
             return None;
         }
-        let mut report = self.peers.words_except(|_| false, now_ms);
+        let mut report = self.peers.sum_reports_except(|_| false, now_ms);
         report.add(&self.local_report());
         let running = report.running.into_iter();
         let running = running.map(|(pool, count)| (pool, f64::from(count)));
