--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use tokio::time::timeout;
 
-use crate::channel::{Channel, SendError, keep_time_ms};
+use crate::connection::{Connection, SendError, keep_alive_ms};
 use crate::dialect::{AnswerMarks, Forward};
 use crate::ends;
 use crate::job::Job;
@@ -26,7 +26,7 @@
     gateway: Arc<Gateway>,
     /// The upstream.
     pub upstream: Arc<UpstreamRecord>,
-    channel: Option<Channel>,
+    channel: Option<Connection>,
     estimate: Estimate,
     is_read: bool,
     key: RunKey,
@@ -124,7 +124,7 @@
 impl Drop for Lease {
     fn drop(&mut self) {
         // An answer that was put aside may have broken off unread.
-        if self.is_running && self.channel.as_ref().is_some_and(Channel::is_closed) {
+        if self.is_running && self.channel.as_ref().is_some_and(Connection::is_closed) {
             ends::look(&self.gateway, &self.upstream);
             self.leave(RunEnd::ConnectionLost);
         }
@@ -247,7 +247,7 @@
                 count(gateway, job, "not_sent");
                 return Sent::NotRun { arrived: false };
             }
-            Ok(Err(SendError::Lost(e))) => {
+            Ok(Err(SendError::ResponseLost(e))) => {
                 lease.broke();
                 let detail = json!({
                     "upstream": upstream.id, "error": e.to_string(), "kept_connection": is_kept,
@@ -273,8 +273,8 @@
     job: &Job,
     upstream: &UpstreamRecord,
     trace: &mut Trace,
-) -> Option<Channel> {
-    match Channel::open(upstream.addr).await {
+) -> Option<Connection> {
+    match Connection::open(upstream.addr).await {
         Ok(channel) => Some(channel),
         Err(e) => {
             let detail = json!({"upstream": upstream.id, "error": e.to_string()});
@@ -303,7 +303,7 @@
     let status = response.status().as_u16();
     gateway.note_unread(&lease.upstream.id, response.headers());
     let marks = gateway.dialect.answer(status, response.headers());
-    let keep_ms = keep_time_ms(response.headers());
+    let keep_ms = keep_alive_ms(response.headers());
     let is_framed = is_framed(response.headers());
     lease.read();
     let upstream: &Name = &lease.upstream.id.clone();
--- a/crates/ivyweir-gateway/src/box_call.rs
+++ b/crates/ivyweir-gateway/src/box_call.rs
@@ -1,4 +1,4 @@
-//! Calls between boxes: a message in the request's body, and one in the answer's.
+//! Calls between boxes, with one encoded message in the request body and one in the response body.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,37 +11,38 @@
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu};
 
-use crate::client::{Answer, CallError, Client, MAX_ANSWER_BYTES};
+use crate::client::{BufferedResponse, CallError, Client, MAX_RESPONSE_BYTES};
 use crate::message;
 
-/// A call to another box that brought nothing to use.
+/// Error of a call to another box.
 #[derive(Debug, Snafu)]
 pub enum BoxCallError {
-    /// No whole answer came.
+    /// No complete response arrived.
     #[snafu(display("{source}"))]
-    Unanswered {
-        /// Why.
+    NoResponse {
+        /// The cause.
         source: CallError,
     },
-    /// It answered with another status than success.
+    /// The response status was not 200.
     #[snafu(display("status {}", status.as_u16()))]
     Status {
-        /// The status.
+        /// The response status.
         status: StatusCode,
     },
-    /// The answer has another form.
+    /// The response body could not be decoded.
     #[snafu(display("{source}"))]
-    Unreadable {
-        /// What was expected.
+    Decode {
+        /// The decoding error.
         source: std::io::Error,
     },
 }
 
-/// Sends a message to a box, and reads what it answers.
+/// Sends a message to a box and decodes its response.
 ///
 /// # Errors
 ///
-/// When there is no whole answer within `limit`, or no success, or it cannot be read.
+/// Fails if no complete response arrives within `limit`, if its status is not 200, or if its body
+/// cannot be decoded.
 pub async fn post<A: DeserializeOwned>(
     client: &mut Client,
     path: &str,
@@ -50,11 +51,11 @@
 ) -> Result<A, BoxCallError> {
     let body = message::encode(message);
     let request = request(Method::POST, client.addr(), path, body);
-    read_answer(client.call(request, limit).await)
+    decode_response(client.call(request, limit).await)
 }
 
-/// A question to the box at `addr`, all in its path.
-pub fn question(addr: SocketAddr, path: &str) -> Request<Bytes> {
+/// Builds a GET request to the box at `addr`; all parameters are in the path.
+pub fn get_request(addr: SocketAddr, path: &str) -> Request<Bytes> {
     request(Method::GET, addr, path, Bytes::new())
 }
 
@@ -67,25 +68,26 @@
         .expect("invariant: all parts are valid")
 }
 
-/// Reads a box's answer.
+/// Decodes the response of a box.
 ///
 /// # Errors
 ///
-/// When there is none, or no success, or it cannot be read.
-pub fn read_answer<A: DeserializeOwned>(
-    answer: Result<Answer, CallError>,
+/// Fails if there is no response, if its status is not 200, or if its body cannot be decoded.
+pub fn decode_response<A: DeserializeOwned>(
+    response: Result<BufferedResponse, CallError>,
 ) -> Result<A, BoxCallError> {
-    let answer = answer.context(UnansweredSnafu)?;
-    if answer.status != StatusCode::OK {
+    let response = response.context(NoResponseSnafu)?;
+    if response.status != StatusCode::OK {
         return StatusSnafu {
-            status: answer.status,
+            status: response.status,
         }
         .fail();
     }
-    message::decode(&answer.body, MAX_ANSWER_BYTES).context(UnreadableSnafu)
+    message::decode(&response.body, MAX_RESPONSE_BYTES).context(DecodeSnafu)
 }
 
-/// Reads another box's message of at most `max_bytes`; none if it is larger or has another form.
+/// Reads and decodes the message in a request from another box. Returns `None` if the body is larger
+/// than `max_bytes` or cannot be decoded.
 pub async fn read_message<M: DeserializeOwned>(
     request: Request<Incoming>,
     max_bytes: usize,
--- a/crates/ivyweir-gateway/src/client.rs
+++ b/crates/ivyweir-gateway/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, or to another box, on one kept connection.
+//! HTTP client for the store or another box, over one persistent connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,63 +9,63 @@
 use snafu::Snafu;
 use tokio::time::timeout;
 
-use crate::channel::{Channel, SendError};
+use crate::connection::{Connection, SendError};
 use crate::dialect::DialectError;
 
-/// Time for the store to answer, beyond what it was asked to wait. A slow store takes some hundred
-/// milliseconds.
-pub const ANSWER_LIMIT: Duration = Duration::from_millis(1_500);
-/// Bytes of the largest answer: a page is about a megabyte at most.
-pub const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Time limit for a response from the store, on top of the wait that the request asks for. A slow
+/// store takes a few hundred milliseconds.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Largest response body. A listing page has at most about 1 MB.
+pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// A call that brought nothing to use.
+/// Error of a call to the store or another box.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// It could not be reached.
-    #[snafu(display("no connection: {source}"))]
+    /// No connection could be opened.
+    #[snafu(display("cannot connect: {source}"))]
     Unreachable {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// No whole answer came; a write may have been done.
-    #[snafu(display("the answer was lost: {detail}"))]
-    Lost {
-        /// What happened.
+    /// No complete response arrived; a write may have been applied.
+    #[snafu(display("no complete response: {detail}"))]
+    ResponseLost {
+        /// The cause.
         detail: String,
     },
-    /// The answer was not waited for any longer.
-    #[snafu(display("the answer was given up: {detail}"))]
-    GivenUp {
-        /// Why.
+    /// The call was abandoned before a complete response arrived.
+    #[snafu(display("call abandoned: {detail}"))]
+    Abandoned {
+        /// The cause.
         detail: String,
     },
-    /// It answered that it did nothing.
+    /// The server responded that it did not apply the request.
     #[snafu(display("refused with status {status}"))]
     Refused {
-        /// The status.
+        /// The response status.
         status: u16,
     },
-    /// The store was restored from a backup: the answer is from an era before the known one, or
+    /// The store was restored from a backup: the response is from an era before the known one, or
     /// the pages of a listing are from different eras.
-    #[snafu(display("the answer is from another era of the store"))]
+    #[snafu(display("response is from a different store era"))]
     EraMismatch,
-    /// The answer cannot be read.
-    #[snafu(display("the answer cannot be read: {detail}"))]
+    /// The response could not be decoded.
+    #[snafu(display("cannot decode response: {detail}"))]
     Unreadable {
-        /// What was expected.
+        /// The decoding error.
         detail: String,
     },
 }
 
 impl CallError {
-    /// It answered with a status that says it did nothing.
+    /// Creates the error for a response status that says the request was not applied.
     pub fn refused(status: StatusCode) -> Self {
         Self::Refused {
             status: status.as_u16(),
         }
     }
 
-    /// Its answer does not have the form expected.
+    /// Creates the error for a response that the codec could not decode.
     pub fn unreadable(error: DialectError) -> Self {
         Self::Unreadable {
             detail: error.to_string(),
@@ -73,91 +73,96 @@
     }
 }
 
-/// An answer with its whole body.
+/// A response whose body has been read completely.
 #[derive(Debug)]
-pub struct Answer {
-    /// The status.
+pub struct BufferedResponse {
+    /// The response status.
     pub status: StatusCode,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// One caller; its calls go one after the other.
+/// A client that makes one call at a time.
 #[derive(Debug)]
 pub struct Client {
     addr: SocketAddr,
-    channel: Option<Channel>,
+    connection: Option<Connection>,
 }
 
 impl Client {
-    /// A client of the store or box at `addr`.
+    /// Creates a client for the store or box at `addr`, without connecting.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
-            channel: None,
+            connection: None,
         }
     }
 
-    /// Whom it calls.
+    /// Returns the address of the server.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Makes sure that there is a connection; a new one must come up within `limit`.
+    /// Opens a connection within `limit`, unless one is ready.
     ///
     /// # Errors
     ///
-    /// When the other end cannot be reached in time.
+    /// Fails if the connection cannot be opened in time.
     pub async fn connect(&mut self, limit: Duration) -> Result<(), CallError> {
-        if self.channel.as_ref().is_some_and(Channel::is_ready) {
+        if self.connection.as_ref().is_some_and(Connection::is_ready) {
             return Ok(());
         }
-        let channel = Channel::open_within(self.addr, limit).await;
-        self.channel = Some(channel.map_err(|source| CallError::Unreachable { source })?);
+        let connection = Connection::open_within(self.addr, limit).await;
+        self.connection = Some(connection.map_err(|source| CallError::Unreachable { source })?);
         Ok(())
     }
 
-    /// Makes a call.
+    /// Sends a request and reads the complete response, connecting first if necessary.
     ///
     /// # Errors
     ///
-    /// When there is no whole answer within `limit`. The connection is then given up: after a lost
-    /// answer it may say nothing further.
+    /// Fails if no complete response arrives within `limit`. The connection is then dropped, as it may
+    /// stay silent after a lost response.
     pub async fn call(
         &mut self,
         request: Request<Bytes>,
         limit: Duration,
-    ) -> Result<Answer, CallError> {
-        let mut channel = match self.channel.take().filter(Channel::is_ready) {
-            Some(channel) => channel,
-            None => Channel::open(self.addr)
+    ) -> Result<BufferedResponse, CallError> {
+        let mut connection = match self.connection.take().filter(Connection::is_ready) {
+            Some(connection) => connection,
+            None => Connection::open(self.addr)
                 .await
                 .map_err(|source| CallError::Unreachable { source })?,
         };
-        let lost = |detail: String| CallError::Lost { detail };
-        let whole = async {
-            let answer = channel.send(request.map(Full::new)).await;
-            let answer = answer.map_err(|e| match e {
-                SendError::NotSent => lost("the connection closed before".into()),
-                SendError::Lost(e) => lost(e.to_string()),
+        let no_response = |detail: String| CallError::ResponseLost { detail };
+        let exchange = async {
+            let response = connection.send(request.map(Full::new)).await;
+            let response = response.map_err(|e| match e {
+                SendError::NotSent => {
+                    no_response("connection closed before the request was sent".into())
+                }
+                SendError::ResponseLost(e) => no_response(e.to_string()),
             })?;
-            let (head, body) = answer.into_parts();
-            let body = Limited::new(body, MAX_ANSWER_BYTES).collect();
-            let body = body.await.map_err(|e| lost(e.to_string()))?.to_bytes();
-            Ok(Answer {
+            let (head, body) = response.into_parts();
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect();
+            let body = body
+                .await
+                .map_err(|e| no_response(e.to_string()))?
+                .to_bytes();
+            Ok(BufferedResponse {
                 status: head.status,
                 headers: head.headers,
                 body,
             })
         };
-        let answer = timeout(limit, whole)
+        let response = timeout(limit, exchange)
             .await
-            .map_err(|_| CallError::GivenUp {
-                detail: format!("nothing came within {} ms", limit.as_millis()),
+            .map_err(|_| CallError::Abandoned {
+                detail: format!("no response within {} ms", limit.as_millis()),
             })??;
-        self.channel = Some(channel);
-        Ok(answer)
+        self.connection = Some(connection);
+        Ok(response)
     }
 }
--- /dev/null
+++ b/crates/ivyweir-gateway/src/connection.rs
@@ -0,0 +1,206 @@
+//! HTTP/1 connections to upstreams, the store and other boxes, and the pool of idle upstream connections.
+
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Mutex;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::{HeaderMap, Request, Response, header};
+use hyper_util::rt::TokioIo;
+use ivyweir_policy::Name;
+use socket2::{SockRef, TcpKeepalive};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+/// Time limit for opening a connection. A lost SYN is retransmitted only after 1 s, so a new attempt
+/// succeeds sooner.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after which the kernel closes a connection with unacknowledged data (`TCP_USER_TIMEOUT`).
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Idle time before the first TCP keepalive probe.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+/// Interval between TCP keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which an idle connection is kept if the server sends no `Keep-Alive` timeout.
+const DEFAULT_KEEP_ALIVE_MS: u64 = 4_000;
+/// Subtracted from the server's `Keep-Alive` timeout, to allow for data in transit.
+const KEEP_ALIVE_MARGIN_MS: u64 = 700;
+/// Shortest remaining time for which an idle connection is worth keeping.
+const MIN_KEEP_ALIVE_MS: u64 = 200;
+/// Largest size of a connection's read buffer.
+const READ_BUFFER_BYTES: usize = 64 << 10;
+
+/// Error of sending a request.
+#[derive(Debug)]
+pub enum SendError {
+    /// No byte of the request was sent.
+    NotSent,
+    /// The request may have reached the server, but no response arrived.
+    ResponseLost(hyper::Error),
+}
+
+/// A connection that carries one request at a time.
+#[derive(Debug)]
+pub struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+}
+
+impl Connection {
+    /// Opens a connection within the default time limit.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection cannot be opened in time.
+    pub async fn open(addr: SocketAddr) -> io::Result<Self> {
+        Self::open_within(addr, CONNECT_TIMEOUT).await
+    }
+
+    /// Opens a connection within `limit`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection cannot be opened in time.
+    pub async fn open_within(addr: SocketAddr, limit: Duration) -> io::Result<Self> {
+        let timed_out = || io::Error::new(io::ErrorKind::TimedOut, "connection attempt timed out");
+        let stream = timeout(limit, TcpStream::connect(addr))
+            .await
+            .map_err(|_| timed_out())??;
+        stream.set_nodelay(true)?;
+        set_tcp_timeouts(&stream)?;
+        let (mut sender, connection) = http1::Builder::new()
+            .max_buf_size(READ_BUFFER_BYTES)
+            .handshake(TokioIo::new(stream))
+            .await
+            .map_err(io::Error::other)?;
+        tokio::spawn(async move {
+            // Errors that affect a request are reported through the sender.
+            let _reported_by_sender = connection.await;
+        });
+        // A connection reports itself as busy until its task has run once.
+        sender.ready().await.map_err(io::Error::other)?;
+        Ok(Self { sender })
+    }
+
+    /// Sends a request and waits for the head of the response.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no response; the error says whether the request may have reached the server.
+    pub async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, SendError> {
+        match self.sender.try_send_request(request).await {
+            Ok(response) => Ok(response),
+            Err(mut error) => match error.take_message() {
+                Some(_) => Err(SendError::NotSent),
+                None => Err(SendError::ResponseLost(error.into_error())),
+            },
+        }
+    }
+
+    /// Returns whether the next request can be sent.
+    pub fn is_ready(&self) -> bool {
+        self.sender.is_ready()
+    }
+
+    /// Returns whether the connection is closed.
+    pub fn is_closed(&self) -> bool {
+        self.sender.is_closed()
+    }
+}
+
+/// Sets `TCP_USER_TIMEOUT` and TCP keepalive, so that the kernel closes a connection whose peer does not
+/// respond.
+pub fn set_tcp_timeouts(stream: &TcpStream) -> io::Result<()> {
+    let socket = SockRef::from(stream);
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL);
+    socket.set_tcp_keepalive(&keepalive)
+}
+
+#[derive(Debug)]
+struct IdleConnection {
+    connection: Connection,
+    expires_ms: u64,
+}
+
+/// Pool of idle connections, keyed by upstream incarnation.
+#[derive(Debug, Default)]
+pub struct ConnectionPool {
+    idle: Mutex<HashMap<Name, Vec<IdleConnection>>>,
+}
+
+impl ConnectionPool {
+    /// Takes the newest idle connection that is ready for a request, if there is one.
+    pub fn take(&self, upstream_id: &str, now_ms: u64) -> Option<Connection> {
+        let mut idle = self.idle.lock().expect("invariant: no holder panics");
+        let kept = idle.get_mut(upstream_id)?;
+        kept.retain(|c| c.expires_ms > now_ms && !c.connection.is_closed());
+        let newest_ready = kept.iter().rposition(|c| c.connection.is_ready())?;
+        Some(kept.swap_remove(newest_ready).connection)
+    }
+
+    /// Returns a connection to the pool for `keep_alive_ms`. Its last response must have been read to the end.
+    pub fn keep(
+        &self,
+        upstream_id: &Name,
+        connection: Connection,
+        keep_alive_ms: u64,
+        now_ms: u64,
+    ) {
+        if connection.is_closed() {
+            return;
+        }
+
+        let expires_ms = now_ms + keep_alive_ms;
+        let mut idle = self.idle.lock().expect("invariant: no holder panics");
+        let kept = idle.entry(upstream_id.clone()).or_default();
+        kept.push(IdleConnection {
+            connection,
+            expires_ms,
+        });
+    }
+
+    /// Closes connections that have expired or whose upstream is not known any more.
+    pub fn sweep(&self, is_known: impl Fn(&str) -> bool, now_ms: u64) {
+        let mut idle = self.idle.lock().expect("invariant: no holder panics");
+        idle.retain(|id, kept| {
+            kept.retain(|c| c.expires_ms > now_ms && !c.connection.is_closed());
+            !kept.is_empty() && is_known(id)
+        });
+    }
+}
+
+/// Returns how long a connection may stay idle according to the response headers; `None` if the server
+/// closes it or its timeout is too short to reuse the connection.
+pub fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
+    let closes = headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .any(|token| token.trim().eq_ignore_ascii_case("close"));
+    if closes {
+        return None;
+    }
+    let timeout = headers.get("keep-alive").and_then(|v| v.to_str().ok());
+    let Some(timeout_s) = timeout.and_then(parse_keep_alive_timeout) else {
+        return Some(DEFAULT_KEEP_ALIVE_MS);
+    };
+    let timeout_ms = timeout_s * 1_000;
+    let keep_alive_ms = timeout_ms.saturating_sub(KEEP_ALIVE_MARGIN_MS);
+    (keep_alive_ms >= MIN_KEEP_ALIVE_MS).then_some(keep_alive_ms)
+}
+
+fn parse_keep_alive_timeout(keep_alive: &str) -> Option<u64> {
+    let mut parameters = keep_alive.split(',').map(str::trim);
+    parameters.find_map(|p| p.strip_prefix("timeout=")?.parse().ok())
+}
--- a/crates/ivyweir-gateway/src/drive.rs
+++ b/crates/ivyweir-gateway/src/drive.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use crate::adopt::adopt_rollout;
-use crate::client::ANSWER_LIMIT;
+use crate::client::RESPONSE_TIMEOUT;
 use crate::state::Gateway;
 use crate::state::counts_of;
 use crate::store_client::{StoreAnswer, StoreClient};
@@ -94,7 +94,7 @@
     duty: RolloutDuty,
 ) {
     let request = gateway.codec.write_rollout(&order);
-    let outcome = match client.call(request, ANSWER_LIMIT).await {
+    let outcome = match client.call(request, RESPONSE_TIMEOUT).await {
         Ok(answer) => take_answer(gateway, &answer),
         Err(e) => Err(e.to_string()),
     };
--- a/crates/ivyweir-gateway/src/duties.rs
+++ b/crates/ivyweir-gateway/src/duties.rs
@@ -20,7 +20,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::client::{ANSWER_LIMIT, CallError, Client};
+use crate::client::{CallError, Client, RESPONSE_TIMEOUT};
 use crate::settings;
 use crate::state::Gateway;
 use crate::store_client::StoreClient;
@@ -195,7 +195,7 @@
 
     /// Reads or writes the record, and takes in how it stands then.
     async fn ask_store(&mut self, request: Request<Bytes>) -> Result<(), CallError> {
-        let answer = self.store.call(request, ANSWER_LIMIT).await;
+        let answer = self.store.call(request, RESPONSE_TIMEOUT).await;
         let outcome = if answer.is_ok() { "ok" } else { "failed" };
         let calls = &self.gateway.metrics.store_calls;
         calls.with_label_values(&["duties", outcome]).inc();
--- a/crates/ivyweir-gateway/src/ends.rs
+++ b/crates/ivyweir-gateway/src/ends.rs
@@ -8,7 +8,7 @@
 
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 
-use crate::channel::Channel;
+use crate::connection::Connection;
 use crate::state::Gateway;
 
 /// Time for which the connection is kept that was opened to look: the upstream serves, and another request
@@ -23,7 +23,7 @@
     }
     let (gateway, upstream) = (gateway.clone(), upstream.clone());
     tokio::spawn(async move {
-        let opened = Channel::open(upstream.addr).await;
+        let opened = Connection::open(upstream.addr).await;
         match opened {
             Ok(channel) => {
                 let now_ms = gateway.clock.now_ms();
--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -11,9 +11,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
 
-use crate::answer::{AnswerBody, bare, message};
 use crate::dialect::{Item, Topic};
 use crate::history::{Asker, Behind, NoSource, PassedChange};
+use crate::response::{ResponseBody, peer_message, status_only};
 use crate::state::Gateway;
 
 /// Where a topic is followed.
@@ -97,9 +97,9 @@
 }
 
 /// Answers a box that follows a topic here.
-pub async fn answer(gateway: &Arc<Gateway>, query: Option<&str>) -> Response<AnswerBody> {
+pub async fn answer(gateway: &Arc<Gateway>, query: Option<&str>) -> Response<ResponseBody> {
     let Some(question) = query.and_then(Question::parse) else {
-        return bare(StatusCode::BAD_REQUEST);
+        return status_only(StatusCode::BAD_REQUEST);
     };
     let asked_at_ms = gateway.clock.now_ms();
     let histories = &gateway.histories;
@@ -118,14 +118,14 @@
                 if behind.is_some() || renewed || now_ms >= until_ms {
                     let held_ms = now_ms - asked_at_ms;
                     match follow_answer(gateway, &question, behind, held_ms) {
-                        Some(answer) => return message(&answer),
+                        Some(answer) => return peer_message(&answer),
                         None => now_ms + COPY_PAUSE_MS,
                     }
                 } else {
                     until_ms
                 }
             }
-            Err(NoSource::AtAll) => return bare(StatusCode::SERVICE_UNAVAILABLE),
+            Err(NoSource::AtAll) => return status_only(StatusCode::SERVICE_UNAVAILABLE),
             Err(why @ (NoSource::ForNow | NoSource::NotYet)) => {
                 if !gateway.peers.is_settled() {
                     sourceless_since_ms = None;
@@ -133,7 +133,7 @@
                 let change_ms = source_change_ms(&question, why);
                 let limit_ms = *sourceless_since_ms.get_or_insert(now_ms) + change_ms;
                 if now_ms >= limit_ms {
-                    return bare(StatusCode::SERVICE_UNAVAILABLE);
+                    return status_only(StatusCode::SERVICE_UNAVAILABLE);
                 }
                 limit_ms
             }
--- a/crates/ivyweir-gateway/src/gather.rs
+++ b/crates/ivyweir-gateway/src/gather.rs
@@ -9,11 +9,11 @@
 use serde_json::json;
 use tokio::time::timeout;
 
-use crate::answer::{AnswerBody, whole};
 use crate::attempt::Reply;
 use crate::job::{Job, strip_hop_by_hop};
 use crate::log::Trace;
 use crate::refusal::Reason;
+use crate::response::{ResponseBody, full_body};
 use crate::state::Gateway;
 
 /// Largest answer that is gathered before it is passed on.
@@ -25,7 +25,7 @@
     job: &Job,
     reply: Reply,
     trace: &mut Trace,
-) -> Result<Response<AnswerBody>, Name> {
+) -> Result<Response<ResponseBody>, Name> {
     let Reply {
         response,
         mut lease,
@@ -80,7 +80,7 @@
     if promises_not_run(head.status.as_u16()) {
         return Ok(Reason::AnswerLost.into_answer(false));
     }
-    Ok(Response::from_parts(head, whole(bytes)))
+    Ok(Response::from_parts(head, full_body(bytes)))
 }
 
 fn promises_not_run(status: u16) -> bool {
--- a/crates/ivyweir-gateway/src/join.rs
+++ b/crates/ivyweir-gateway/src/join.rs
@@ -14,9 +14,9 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::answer::{self, AnswerBody, bare};
 use crate::box_call;
 use crate::client::Client;
+use crate::response::{self, ResponseBody, status_only};
 use crate::state::Gateway;
 
 /// Where boxes join.
@@ -155,10 +155,10 @@
 }
 
 /// Answers a box that joins here.
-pub async fn answer(gateway: &Gateway, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn answer(gateway: &Gateway, request: Request<Incoming>) -> Response<ResponseBody> {
     let message = box_call::read_message::<JoinMessage>(request, MAX_MESSAGE_BYTES);
     let Some(message) = message.await else {
-        return bare(StatusCode::BAD_REQUEST);
+        return status_only(StatusCode::BAD_REQUEST);
     };
     let now_ms = gateway.clock.now_ms();
     let hall = message.from.hall.clone();
@@ -167,7 +167,7 @@
         let news = joined.update_for(&hall, message.has, now_ms);
         (news, joined.count(now_ms))
     });
-    answer::message(&JoinAnswer {
+    response::peer_message(&JoinAnswer {
         news,
         up_ms: now_ms,
         fleet_size,
--- a/crates/ivyweir-gateway/src/keep.rs
+++ b/crates/ivyweir-gateway/src/keep.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::client::{ANSWER_LIMIT, CallError};
+use crate::client::{CallError, RESPONSE_TIMEOUT};
 use crate::state::Gateway;
 use crate::store_client::{StoreAnswer, StoreClient};
 
@@ -159,7 +159,7 @@
     }
 
     async fn call(&mut self, request: Request<Bytes>) -> Result<StoreAnswer, CallError> {
-        let answer = self.client.call(request, ANSWER_LIMIT).await;
+        let answer = self.client.call(request, RESPONSE_TIMEOUT).await;
         let outcome = if answer.is_ok() { "ok" } else { "failed" };
         let calls = &self.gateway.metrics.store_calls;
         calls.with_label_values(&["quarantines", outcome]).inc();
--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -18,12 +18,11 @@
 
 mod admit;
 mod adopt;
-mod answer;
 mod attempt;
 mod box_call;
-mod channel;
 pub mod client;
 pub mod clock;
+mod connection;
 pub mod dialect;
 mod drive;
 mod duties;
@@ -43,6 +42,7 @@
 mod peers;
 mod pipeline;
 mod refusal;
+mod response;
 mod server;
 mod settings;
 pub mod settings_file;
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -10,19 +10,19 @@
 use serde_json::json;
 
 use crate::admit::admit;
-use crate::answer::AnswerBody;
 use crate::attempt::Reply;
 use crate::gather::gather;
 use crate::job::Job;
 use crate::judge::judge_head;
 use crate::log::Trace;
 use crate::refusal::Reason;
+use crate::response::ResponseBody;
 use crate::state::{Active, Gateway};
 use crate::stream;
 use crate::tries::{Tries, choose, may_repeat, next_reply};
 
 /// Answers a request.
-pub async fn handle(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn handle(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
     let active = gateway.begin_request();
     let arrived_ms = gateway.clock.now_ms();
     let (head, body) = request.into_parts();
@@ -55,9 +55,9 @@
     gateway: &Gateway,
     route: &Name,
     arrived_ms: u64,
-    answer: Result<Response<AnswerBody>, Reason>,
+    answer: Result<Response<ResponseBody>, Reason>,
     close: bool,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let outcome = match &answer {
         Ok(answer) if answer.status().is_success() => "ok",
         Ok(_) => "upstream_failure",
@@ -102,7 +102,7 @@
     job: Arc<Job>,
     mut trace: Trace,
     active: Active,
-) -> Result<Response<AnswerBody>, Reason> {
+) -> Result<Response<ResponseBody>, Reason> {
     gateway.count_request(&job.pool);
     let mut tries = Tries::default();
     let mut kept = None;
@@ -177,7 +177,7 @@
     tries: &Tries,
     mut trace: Trace,
     active: Active,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let detail = json!({
         "upstream": reply.lease.upstream.id, "model": model,
         "confidence": reply.marks.confidence, "head_after_ms": reply.head_after_ms,
@@ -195,7 +195,7 @@
     tries: &Tries,
     mut trace: Trace,
     active: Active,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     trace.step("larger_model_failed", json!({"from": tries.model}));
     let Kept { reply, model } = smaller;
     relay(gateway, job, reply, model, tries, trace, active)
--- a/crates/ivyweir-gateway/src/refusal.rs
+++ b/crates/ivyweir-gateway/src/refusal.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::{Response, StatusCode, header};
 
-use crate::answer::{AnswerBody, whole};
+use crate::response::{ResponseBody, full_body};
 
 /// Why the gateway itself answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -120,7 +120,7 @@
     }
 
     /// The answer; `close` asks the caller for a new connection.
-    pub fn into_answer(self, close: bool) -> Response<AnswerBody> {
+    pub fn into_answer(self, close: bool) -> Response<ResponseBody> {
         let body = Bytes::from(format!("{{\"code\":\"{}\"}}\n", self.name()));
         let mut answer = Response::builder()
             .status(self.status())
@@ -132,7 +132,7 @@
             answer = answer.header(header::CONNECTION, "close");
         }
         answer
-            .body(whole(body))
+            .body(full_body(body))
             .expect("invariant: all parts are valid")
     }
 }
--- a/crates/ivyweir-gateway/src/server.rs
+++ b/crates/ivyweir-gateway/src/server.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::sleep;
 
-use crate::answer::{AnswerBody, bare, plain};
+use crate::response::{ResponseBody, plain_text, status_only};
 use crate::state::Gateway;
 use crate::{follow, join, pipeline, words};
 
@@ -106,16 +106,16 @@
     }
 }
 
-async fn answer_box(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn answer_box(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
     if gateway.stopping_for_ms().is_some() {
-        return bare(StatusCode::SERVICE_UNAVAILABLE);
+        return status_only(StatusCode::SERVICE_UNAVAILABLE);
     }
     let path = request.uri().path().to_owned();
     match path.as_str() {
         words::WORD_PATH => words::answer(&gateway, request).await,
         join::JOIN_PATH => join::answer(&gateway, request).await,
         follow::FOLLOW_PATH => follow::answer(&gateway, request.uri().query()).await,
-        _ => bare(StatusCode::NOT_FOUND),
+        _ => status_only(StatusCode::NOT_FOUND),
     }
 }
 
@@ -129,7 +129,7 @@
         let answer = answer.clone();
         let service = service_fn(move |request: Request<Incoming>| {
             let (status, text) = answer(request.uri().path());
-            async move { Ok::<_, Infallible>(plain(status, text)) }
+            async move { Ok::<_, Infallible>(plain_text(status, text)) }
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -39,8 +39,8 @@
 use usage::UsageCount;
 use waiting::Queues;
 
-use crate::channel::Channels;
 use crate::clock::Clock;
+use crate::connection::ConnectionPool;
 use crate::dialect::{Adapter, Dialect, DutyCodec, Item, StoreCodec, Topic};
 use crate::history::Histories;
 use crate::log::Log;
@@ -78,7 +78,7 @@
     /// Counters.
     pub metrics: Metrics,
     /// Kept connections to upstreams.
-    pub channels: Channels,
+    pub channels: ConnectionPool,
     /// Other boxes.
     pub peers: Peers,
     /// What this box passes on to others.
@@ -137,7 +137,7 @@
             settings,
             log,
             metrics: Metrics::default(),
-            channels: Channels::default(),
+            channels: ConnectionPool::default(),
             peers,
             histories: Histories::default(),
             store_news: StoreNews::default(),
--- a/crates/ivyweir-gateway/src/store_client.rs
+++ b/crates/ivyweir-gateway/src/store_client.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::{Request, StatusCode};
 
-use crate::client::{ANSWER_LIMIT, CallError, Client};
+use crate::client::{CallError, Client, RESPONSE_TIMEOUT};
 use crate::dialect::{Page, Topic};
 use crate::state::Gateway;
 
@@ -65,7 +65,7 @@
         after: Option<&str>,
     ) -> Result<(Page, u64), CallError> {
         let request = self.gateway.codec.list(topic, after);
-        let answer = self.call(request, ANSWER_LIMIT).await?;
+        let answer = self.call(request, RESPONSE_TIMEOUT).await?;
         if answer.status != StatusCode::OK {
             return Err(CallError::refused(answer.status));
         }
--- a/crates/ivyweir-gateway/src/stream.rs
+++ b/crates/ivyweir-gateway/src/stream.rs
@@ -16,11 +16,11 @@
 use serde_json::json;
 use tokio::time::timeout_at;
 
-use crate::answer::AnswerBody;
 use crate::attempt::{Lease, Reply};
 use crate::job::{Job, strip_hop_by_hop};
 use crate::judge::weigh;
 use crate::log::Trace;
+use crate::response::ResponseBody;
 use crate::state::{Active, Gateway, ReplacedWatch};
 use crate::tries::Tries;
 
@@ -46,7 +46,7 @@
     tries: &Tries,
     trace: Trace,
     active: Active,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let Reply {
         response,
         lease,
--- a/crates/ivyweir-gateway/src/sync/confirm.rs
+++ b/crates/ivyweir-gateway/src/sync/confirm.rs
@@ -4,7 +4,7 @@
 use tokio::time::timeout;
 
 use super::Follower;
-use crate::client::ANSWER_LIMIT;
+use crate::client::RESPONSE_TIMEOUT;
 use crate::dialect::Topic;
 
 /// How often upstreams are waited for after a loss before the store's proof is renewed without them.
@@ -83,6 +83,6 @@
             }
         }
         self.gateway.histories.tell();
-        matches!(timeout(ANSWER_LIMIT, heard.changed()).await, Ok(Ok(())))
+        matches!(timeout(RESPONSE_TIMEOUT, heard.changed()).await, Ok(Ok(())))
     }
 }
--- a/crates/ivyweir-gateway/src/sync/relay.rs
+++ b/crates/ivyweir-gateway/src/sync/relay.rs
@@ -12,8 +12,8 @@
 use super::confirm::AnsweredBy;
 use super::{Failed, Follower, QUIET_WAIT_MS};
 use crate::adopt::{ListingKind, adopt_all, adopt_changes};
-use crate::box_call::{BoxCallError, question, read_answer};
-use crate::client::{Answer, CallError, Client};
+use crate::box_call::{BoxCallError, decode_response, get_request};
+use crate::client::{BufferedResponse, CallError, Client};
 use crate::dialect::{Item, Topic};
 use crate::follow::{FollowAnswer, Vouches, Whole, follow_path};
 use crate::history::Asker;
@@ -46,7 +46,7 @@
         if matches!(&answer, Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE) {
             return Err(self.found_sourceless(&relay));
         }
-        let answer = match read_answer::<FollowAnswer>(answer) {
+        let answer = match decode_response::<FollowAnswer>(answer) {
             Ok(answer) => answer,
             Err(error) => return Err(self.found_silent(&relay, &error)),
         };
@@ -111,13 +111,13 @@
         since: Revision,
         relay: &BoxRecord,
         asker: Asker,
-    ) -> Result<Result<Answer, CallError>, Failed> {
+    ) -> Result<Result<BufferedResponse, CallError>, Failed> {
         let is_wanted = self.begin_question();
         let wait_ms = self.box_wait_ms(is_wanted);
         let wanted = self.upstreams_asked;
         let me = &self.gateway.settings.box_name;
         let path = follow_path(self.topic, since, wait_ms, asker, me);
-        let request = question(relay.peer_addr, &path);
+        let request = get_request(relay.peer_addr, &path);
         let client = match &mut self.relay {
             Some((known, client)) if known == relay => client,
             other => {
@@ -235,8 +235,10 @@
         let me = &self.gateway.settings.box_name;
         let path = follow_path(self.topic, Revision::default(), 0, Asker::Copier, me);
         let limit = Duration::from_millis(COPY_LIMIT_MS);
-        let answer = Client::new(giver).call(question(giver, &path), limit).await;
-        let answer = read_answer::<FollowAnswer>(answer)?;
+        let answer = Client::new(giver)
+            .call(get_request(giver, &path), limit)
+            .await;
+        let answer = decode_response::<FollowAnswer>(answer)?;
         if let Some(Whole::Here(items)) = answer.whole {
             let detail = json!({
                 "topic": self.topic.name(), "giver": giver, "revision": answer.revision.to_string(),
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -12,7 +12,7 @@
 use super::confirm::AnsweredBy;
 use super::{Follower, QUIET_WAIT_MS};
 use crate::adopt::{ListingKind, adopt_all, adopt_changes, readable_changes};
-use crate::client::{ANSWER_LIMIT, CallError};
+use crate::client::{CallError, RESPONSE_TIMEOUT};
 use crate::dialect::{Changes, Entry, Topic};
 use crate::state::Gateway;
 use crate::store_client::StoreAnswer;
@@ -116,7 +116,7 @@
         let wait_ms = self.wait_ms(is_wanted);
         let request = self.gateway.codec.watch(self.topic, since.number, wait_ms);
         let mut answer = self.call_store(request, wait_ms).await;
-        if self.failures == 0 && matches!(answer, Err(CallError::Lost { .. })) {
+        if self.failures == 0 && matches!(answer, Err(CallError::ResponseLost { .. })) {
             // The store may cut a watch at any time; it is lost only if it does not answer then.
             let request = self
                 .gateway
@@ -168,7 +168,7 @@
         let limit = if self.is_probing || self.failures > 0 {
             PROBE_LIMIT
         } else {
-            ANSWER_LIMIT
+            RESPONSE_TIMEOUT
         };
         let limit = Duration::from_millis(wait_ms) + limit;
         let Gateway {
@@ -182,7 +182,7 @@
             // outlasts the loss that the short ones notice.
             return tokio::select! {
                 answer = call => answer,
-                () = store_news.until_store_lost() => Err(CallError::GivenUp {
+                () = store_news.until_store_lost() => Err(CallError::Abandoned {
                     detail: "questions about the configuration got no answer".into(),
                 }),
             };
--- a/crates/ivyweir-gateway/src/words.rs
+++ b/crates/ivyweir-gateway/src/words.rs
@@ -19,9 +19,9 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-use crate::answer::{self, AnswerBody, bare};
 use crate::box_call;
 use crate::client::Client;
+use crate::response::{self, ResponseBody, status_only};
 use crate::state::Gateway;
 
 /// Where boxes tell their word.
@@ -208,10 +208,10 @@
 }
 
 /// Answers a box that tells its word with what it should know of the others.
-pub async fn answer(gateway: &Gateway, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn answer(gateway: &Gateway, request: Request<Incoming>) -> Response<ResponseBody> {
     let message = box_call::read_message::<PeerReportMessage>(request, MAX_MESSAGE_BYTES);
     let Some(message) = message.await else {
-        return bare(StatusCode::BAD_REQUEST);
+        return status_only(StatusCode::BAD_REQUEST);
     };
     let now_ms = gateway.clock.now_ms();
     let word = if message.for_hall {
@@ -227,5 +227,5 @@
     } else {
         UpdateContent::AckOnly
     };
-    answer::message(&own_message(gateway, &asker, for_hall, word, telling))
+    response::peer_message(&own_message(gateway, &asker, for_hall, word, telling))
 }
