--- a/crates/ivyweir-gateway/src/admit.rs
+++ b/crates/ivyweir-gateway/src/admit.rs
@@ -1,4 +1,4 @@
-//! Reads a request and finds out whether, and how, it is served.
+//! Request admission: reads the body, then resolves the route, workspace, pool and deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,17 +19,17 @@
 use crate::refusal::Reason;
 use crate::state::Gateway;
 
-/// Time for a body to arrive where the caller names none.
+/// Time limit for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest body before a configuration tells the limit.
-const BODY_DEFAULT_BYTES: usize = 1 << 20;
-/// Longest wait of a request for a box that has just started to know its configuration. Boxes that all
-/// start together know it after 0.1 to 0.5 s; one that takes longer says when to come back instead.
-const START_WAIT: Duration = Duration::from_millis(500);
-/// Time after the order to stop in which the balancer may still send work here.
-pub const STOP_NOTICE_MS: u64 = 2_400;
+/// Largest request body while no configuration sets a limit.
+const DEFAULT_MAX_BODY_BYTES: usize = 1 << 20;
+/// Longest time that a request waits for a newly started box to load its configuration. Boxes that all
+/// start together need 0.1 to 0.5 s; if it takes longer, the request is refused with a retry time.
+const STARTUP_SYNC_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time after shutdown begins during which the load balancer may still send requests here.
+pub const DEREGISTRATION_DELAY_MS: u64 = 2_400;
 
-/// Reads a request and finds out whether and how it is served.
+/// Reads a request and decides whether it is served, and with which route, pool and deadline.
 pub async fn admit(
     gateway: &Arc<Gateway>,
     head: Parts,
@@ -37,20 +37,20 @@
     arrived_ms: u64,
     trace: &mut Trace,
 ) -> Result<Job, Reason> {
-    // The body is read before any answer: a connection with unread bytes is reset when it closes.
+    // The body is read before any response is sent: closing a connection with unread data resets it.
     let body = read_body(body, gateway.site().as_deref()).await?;
-    if is_past_notice(gateway) {
+    if is_past_deregistration(gateway) {
         return Err(Reason::Stopping);
     }
-    let site = site_once_synced(gateway).await?;
+    let site = wait_for_site(gateway).await?;
     let host = host_of(&head).ok_or(Reason::BadRequest)?;
     let route = site
         .route(host, head.uri.path())
-        .ok_or_else(|| deny(gateway, Reason::NoRoute))?
+        .ok_or_else(|| deny_if_current(gateway, Reason::NoRoute))?
         .clone();
     let envelope = gateway.dialect.envelope(&head.headers);
-    let workspace = workspace_of(gateway, &site, &route, &envelope)?;
-    let seed = job::seed_of(&envelope);
+    let workspace = authorize(gateway, &site, &route, &envelope)?;
+    let seed = job::request_seed(&envelope);
     let pool = route.pool(seed).ok_or(Reason::NoUpstream)?.clone();
     let side = gateway.side(&pool, envelope.session, seed);
     let budget_ms = envelope.budget_ms.unwrap_or(route.timeout_ms);
@@ -71,9 +71,9 @@
         }),
     );
     Ok(Job {
-        head: job::passed_on(head, &*gateway.dialect),
+        head: job::forwarded_head(head, &*gateway.dialect),
         body,
-        is_keyed: workspace.is_some(),
+        is_authenticated: workspace.is_some(),
         envelope,
         route,
         pool,
@@ -86,22 +86,22 @@
     })
 }
 
-/// The configuration; a box that has just started soon knows it, and that it is the newest, so a
-/// request waits for that.
-async fn site_once_synced(gateway: &Gateway) -> Result<Arc<SiteIndex>, Reason> {
-    let waits = || !gateway.is_synced() || gateway.is_starting();
-    if waits() {
-        let until = Instant::now() + START_WAIT;
-        let mut news = gateway.histories.news();
-        while waits() && timeout_at(until, news.changed()).await.is_ok() {}
+/// Returns the configuration. A newly started box soon has it, with proof that it is the newest, so the
+/// request waits for that up to `STARTUP_SYNC_TIMEOUT`.
+async fn wait_for_site(gateway: &Gateway) -> Result<Arc<SiteIndex>, Reason> {
+    let must_wait = || !gateway.is_synced() || gateway.is_starting();
+    if must_wait() {
+        let until = Instant::now() + STARTUP_SYNC_TIMEOUT;
+        let mut updates = gateway.histories.news();
+        while must_wait() && timeout_at(until, updates.changed()).await.is_ok() {}
     }
-    // Without a proof it may still serve those that need no key.
+    // Without that proof, the box may still serve requests that need no key.
     let site = gateway.site().filter(|_| gateway.is_synced());
-    site.ok_or_else(|| unknown_site(gateway))
+    site.ok_or_else(|| missing_site_reason(gateway))
 }
 
-/// Why a box that knows no configuration refuses.
-fn unknown_site(gateway: &Gateway) -> Reason {
+/// Returns the refusal reason of a box without a configuration.
+fn missing_site_reason(gateway: &Gateway) -> Reason {
     if gateway.peers.is_young() {
         Reason::Starting
     } else {
@@ -109,8 +109,8 @@
     }
 }
 
-/// Whose request it is; none where nobody needs a key.
-fn workspace_of(
+/// Checks the caller's key and returns its workspace; `None` if the route allows anonymous access.
+fn authorize(
     gateway: &Gateway,
     site: &SiteIndex,
     route: &Route,
@@ -118,14 +118,15 @@
 ) -> Result<Option<Arc<Workspace>>, Reason> {
     match site.access(route, envelope.key.as_deref()) {
         Access::Anonymous => Ok(None),
-        Access::Denied => Err(deny(gateway, Reason::NoAccess)),
+        Access::Denied => Err(deny_if_current(gateway, Reason::NoAccess)),
         Access::Workspace(_) if !gateway.may_serve_keys() => Err(Reason::NotCurrent),
         Access::Workspace(workspace) => Ok(Some(workspace)),
     }
 }
 
-/// A refusal of what does not exist, as far as this box may say so.
-fn deny(gateway: &Gateway, reason: Reason) -> Reason {
+/// Returns `reason` if this box may report that a route or key does not exist, and otherwise that its
+/// configuration may be out of date.
+fn deny_if_current(gateway: &Gateway, reason: Reason) -> Reason {
     if gateway.may_deny() {
         reason
     } else {
@@ -133,17 +134,17 @@
     }
 }
 
-/// Whether a request came too late for the balancer not to have noticed the stop.
-fn is_past_notice(gateway: &Gateway) -> bool {
+/// Returns whether this box has been stopping for so long that the load balancer must have noticed.
+fn is_past_deregistration(gateway: &Gateway) -> bool {
     let stopping_ms = gateway.stopping_for_ms();
-    stopping_ms.is_some_and(|ms| ms > STOP_NOTICE_MS)
+    stopping_ms.is_some_and(|ms| ms > DEREGISTRATION_DELAY_MS)
 }
 
 async fn read_body(body: Incoming, site: Option<&SiteIndex>) -> Result<Bytes, Reason> {
     let limits = site.and_then(|site| site.site().limits);
-    let max_bytes = limits.map_or(BODY_DEFAULT_BYTES, |l| l.max_body_bytes);
-    let gathered = timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
-    match gathered {
+    let max_bytes = limits.map_or(DEFAULT_MAX_BODY_BYTES, |l| l.max_body_bytes);
+    let collected = timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
+    match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Reason::TooLarge),
         Ok(Err(_)) => Err(Reason::BadRequest),
--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -16,8 +16,8 @@
 
 use crate::connection::{Connection, SendError, keep_alive_ms};
 use crate::dialect::{AnswerMarks, Forward};
-use crate::ends;
 use crate::job::Job;
+use crate::liveness;
 use crate::log::Trace;
 use crate::state::{Gateway, Suspicion};
 
@@ -117,7 +117,7 @@
         self.outcome(true);
         self.leave(RunEnd::ConnectionLost);
         self.gateway.run_broke(self.key.fingerprint);
-        ends::look(&self.gateway, &self.upstream);
+        liveness::probe(&self.gateway, &self.upstream);
     }
 }
 
@@ -125,7 +125,7 @@
     fn drop(&mut self) {
         // An answer that was put aside may have broken off unread.
         if self.is_running && self.channel.as_ref().is_some_and(Connection::is_closed) {
-            ends::look(&self.gateway, &self.upstream);
+            liveness::probe(&self.gateway, &self.upstream);
             self.leave(RunEnd::ConnectionLost);
         }
         self.leave(RunEnd::Cancelled);
@@ -203,7 +203,7 @@
                 None => return Sent::NotRun { arrived: false },
             },
         };
-        if job.is_keyed && !gateway.may_serve_keys() {
+        if job.is_authenticated && !gateway.may_serve_keys() {
             trace.fail(
                 "keys_not_current",
                 json!({"proof_age_ms": gateway.proof_age_ms()}),
@@ -217,7 +217,7 @@
             return Sent::NotRun { arrived: false };
         }
         let forward = forward(gateway, job, upstream, sending, estimate);
-        let request = job.request(&*gateway.dialect, &forward);
+        let request = job.upstream_request(&*gateway.dialect, &forward);
         let sent_at_ms = gateway.clock.now_ms();
         lease.begin();
         let limit = Duration::from_millis(sending.wait_ms);
--- a/crates/ivyweir-gateway/src/judge.rs
+++ b/crates/ivyweir-gateway/src/canary.rs
@@ -1,4 +1,4 @@
-//! Adds answers to what is known of the versions that gave them.
+//! Records responses as samples for the canary analysis of their upstream's version.
 
 use ivyweir_policy::gateway::canary::{AnswerSample, Span};
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
@@ -7,15 +7,15 @@
 use crate::job::Job;
 use crate::state::Gateway;
 
-/// Takes in what the head of an answer says of its upstream and version; a stream is judged later.
-pub fn judge_head(gateway: &Gateway, job: &Job, reply: &Reply, model: usize) {
+/// Records the head of a response for its upstream and version. A stream that did not fail is sampled later.
+pub fn record_head(gateway: &Gateway, job: &Job, reply: &Reply, model: usize) {
     let failed = reply.response.status().is_server_error();
     reply.lease.outcome(failed);
     if reply.response.status().is_success() {
-        learn_pace(gateway, job, reply, model);
+        record_prefill_pace(gateway, job, reply, model);
     }
     if failed || !job.route.kind.is_stream() {
-        let evidence = AnswerSample {
+        let sample = AnswerSample {
             upstream: &reply.lease.upstream.id,
             failed,
             is_final: true,
@@ -26,12 +26,12 @@
             running: reply.marks.running(),
             queue: reply.marks.queue(),
         };
-        weigh(gateway, job, &reply.lease.upstream, &evidence);
+        record_sample(gateway, job, &reply.lease.upstream, &sample);
     }
 }
 
-/// Takes in how long the upstream took to read the prompt.
-fn learn_pace(gateway: &Gateway, job: &Job, reply: &Reply, model: usize) {
+/// Records how long the upstream took to prefill the prompt.
+fn record_prefill_pace(gateway: &Gateway, job: &Job, reply: &Reply, model: usize) {
     let Some(tokens) = job.tokens() else {
         return;
     };
@@ -42,16 +42,21 @@
     }
 }
 
-/// Adds an answer to what is known about its version.
-pub fn weigh(gateway: &Gateway, job: &Job, upstream: &UpstreamRecord, evidence: &AnswerSample) {
+/// Records a sample for the version of `upstream`, and logs if the version is condemned by it.
+pub fn record_sample(
+    gateway: &Gateway,
+    job: &Job,
+    upstream: &UpstreamRecord,
+    sample: &AnswerSample,
+) {
     let condemned = gateway.with_rollouts(|rollouts, now_ms| {
         let track = rollouts.get_mut(&job.pool)?;
         let side = track.side_of(&upstream.version);
         track
-            .record_answer(side, evidence, now_ms)
+            .record_answer(side, sample, now_ms)
             .then(|| track.total_tally())
     });
-    if let Some(sum) = condemned {
-        gateway.log_condemned(&job.pool, &sum);
+    if let Some(tally) = condemned {
+        gateway.log_condemned(&job.pool, &tally);
     }
 }
--- a/crates/ivyweir-gateway/src/job.rs
+++ b/crates/ivyweir-gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! A request that was admitted, with all that is needed to send it.
+//! An admitted request, with everything that is needed to send it to an upstream.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::dialect::{Dialect, Envelope, Forward, PromptPart};
 use crate::settings::Settings;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers that `http` has constants for.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -28,56 +28,54 @@
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
 ];
-/// Further ones without a name in the library.
+/// Hop-by-hop headers that `http` has no constants for.
 const HOP_BY_HOP_OTHER: [&str; 2] = ["keep-alive", "proxy-connection"];
 
 /// An admitted request.
 #[derive(Debug)]
 pub struct Job {
-    /// Method, path and the headers that are passed on.
+    /// Method, path and the headers to forward.
     pub head: Parts,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What the caller says.
+    /// Metadata from the caller's headers.
     pub envelope: Envelope,
-    /// Its route.
     pub route: Arc<Route>,
-    /// Its pool.
     pub pool: Name,
-    /// Whose request it is.
+    /// The caller's workspace; `None` for anonymous access.
     pub workspace: Option<Arc<Workspace>>,
-    /// Whether it was let in by a key that may be withdrawn.
-    pub is_keyed: bool,
-    /// When it arrived.
+    /// Whether the request was authorized by a key, which may be revoked.
+    pub is_authenticated: bool,
+    /// Time at which it arrived.
     pub arrived_ms: u64,
-    /// When it must have its final answer.
+    /// Time by which its response must be complete.
     pub deadline_ms: u64,
-    /// The side of a roll-out that serves it.
+    /// The roll-out side that serves it.
     pub side: Option<Side>,
-    /// Differs between requests.
+    /// Seed for all choices made by hash; see [`request_seed`].
     pub seed: u64,
-    /// The same for all tries of a request.
+    /// Identifies the request by its content, so that it is the same for all retries.
     pub fingerprint: Fingerprint,
 }
 
 impl Job {
-    /// Its rank among others, 0 first: the workspace's, or else the route's.
-    pub fn rank(&self) -> u8 {
-        let of_workspace = self.workspace.as_ref().and_then(|w| w.priority);
-        of_workspace.unwrap_or(self.route.priority)
+    /// Returns its priority, 0 first: the workspace's, or else the route's.
+    pub fn priority(&self) -> u8 {
+        let workspace_priority = self.workspace.as_ref().and_then(|w| w.priority);
+        workspace_priority.unwrap_or(self.route.priority)
     }
 
-    /// Whether the system chooses the model.
+    /// Returns whether the gateway chooses the model.
     pub fn chooses_model(&self) -> bool {
         self.envelope.any_model && !self.route.models.is_empty()
     }
 
-    /// Answers that are alike: those of the same route and model.
+    /// Returns the key of the group in which response times are compared: same route and same model.
     pub fn lane(&self, model: usize) -> u64 {
         mix(hash64(&[self.route.name.as_bytes()]), model as u64)
     }
 
-    /// What is remembered of it at an upstream.
+    /// Returns the key under which its run at an upstream is tracked.
     pub fn run_key(&self) -> RunKey {
         RunKey {
             fingerprint: self.fingerprint,
@@ -85,22 +83,22 @@
         }
     }
 
-    /// What the request takes of an upstream whose model reads a token in `ms_per_token`.
+    /// Estimates the work for an upstream whose model prefills at `ms_per_token`.
     pub fn estimate(&self, ms_per_token: f64) -> Estimate {
         work::estimate(self.tokens(), ms_per_token)
     }
 
-    /// What is asked of an upstream for the model in this place.
-    pub fn ask<'a>(
+    /// Returns the placement request for the model at this index.
+    pub fn placement_request<'a>(
         &self,
         model: usize,
         estimate: Estimate,
         settings: &'a Settings,
     ) -> PlacementRequest<'a> {
         let policy = &settings.policy;
-        let drawing = self.shared_parts().last().filter(|_| policy.draw_shared);
+        let affinity_part = self.shared_parts().last().filter(|_| policy.draw_shared);
         PlacementRequest {
-            prefix: drawing.map(|part| mix(part.id_hash, model as u64)),
+            prefix: affinity_part.map(|part| mix(part.id_hash, model as u64)),
             engine: self.tokens().map(|_| estimate),
             hall: &settings.hall,
             far_engine_ms: policy.far_engine_ms,
@@ -110,7 +108,7 @@
         }
     }
 
-    /// Its tokens, where the caller tells them.
+    /// Returns its token counts, if the caller states them.
     pub fn tokens(&self) -> Option<Tokens> {
         let (own, shared) = self.envelope.parts.split_last()?;
         Some(Tokens {
@@ -120,8 +118,12 @@
         })
     }
 
-    /// The request as it is sent to an upstream.
-    pub fn request(&self, dialect: &dyn Dialect, forward: &Forward) -> Request<Full<Bytes>> {
+    /// Builds the request that is sent to an upstream.
+    pub fn upstream_request(
+        &self,
+        dialect: &dyn Dialect,
+        forward: &Forward,
+    ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
@@ -138,8 +140,9 @@
     }
 }
 
-/// The head as it is passed on: origin form, without what is the connection's or the system's.
-pub fn passed_on(mut head: Parts, dialect: &dyn Dialect) -> Parts {
+/// Converts the caller's request head to the one that is forwarded: the URI in origin form, without hop-by-hop
+/// headers and without those that only the system may set.
+pub fn forwarded_head(mut head: Parts, dialect: &dyn Dialect) -> Parts {
     if let Some(path) = head.uri.path_and_query() {
         head.uri = Uri::from(path.clone());
     }
@@ -151,7 +154,7 @@
     head
 }
 
-/// Removes headers that concern one connection only.
+/// Removes hop-by-hop headers, including those that the `Connection` header names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -171,8 +174,9 @@
     }
 }
 
-/// A number that differs between requests, the same on all boxes.
-pub fn seed_of(envelope: &Envelope) -> u64 {
+/// Returns a number that differs between requests. It is derived from the request id, so that all boxes compute the
+/// same one; without an id it is random.
+pub fn request_seed(envelope: &Envelope) -> u64 {
     match &envelope.request_id {
         Some(id) => hash64(&[id.as_bytes()]),
         None => rand::random(),
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -11,9 +11,9 @@
 
 use crate::admit::admit;
 use crate::attempt::Reply;
+use crate::canary::record_head;
 use crate::gather::gather;
 use crate::job::Job;
-use crate::judge::judge_head;
 use crate::log::Trace;
 use crate::refusal::Reason;
 use crate::response::ResponseBody;
@@ -128,7 +128,7 @@
         {
             gateway.count_begun(&workspace.name);
         }
-        judge_head(gateway, &job, &reply, tries.model);
+        record_head(gateway, &job, &reply, tries.model);
         match use_of(gateway, &job, &mut tries, &reply, &mut trace) {
             Use::Answer => {}
             Use::Again => continue,
--- a/crates/ivyweir-gateway/src/state/waiting.rs
+++ b/crates/ivyweir-gateway/src/state/waiting.rs
@@ -67,7 +67,7 @@
         Waiter {
             gateway: self.clone(),
             pool: job.pool.clone(),
-            ticket: queue.push(job.rank(), job.arrived_ms),
+            ticket: queue.push(job.priority(), job.arrived_ms),
         }
     }
 
@@ -84,7 +84,9 @@
         let ahead = ahead.unwrap_or_else(|| {
             let queues = lock(&self.queues);
             let queue = queues.get(&job.pool);
-            queue.map_or(0, |queue| queue.ahead_of_new(job.rank(), job.arrived_ms))
+            queue.map_or(0, |queue| {
+                queue.ahead_of_new(job.priority(), job.arrived_ms)
+            })
         });
         let held = BlockedRequest {
             for_ms,
--- a/crates/ivyweir-gateway/src/stream.rs
+++ b/crates/ivyweir-gateway/src/stream.rs
@@ -17,8 +17,8 @@
 use tokio::time::timeout_at;
 
 use crate::attempt::{Lease, Reply};
+use crate::canary::record_sample;
 use crate::job::{Job, strip_hop_by_hop};
-use crate::judge::weigh;
 use crate::log::Trace;
 use crate::response::ResponseBody;
 use crate::state::{Active, Gateway, ReplacedWatch};
@@ -248,8 +248,8 @@
             self.events += 1;
             self.last_event_id = Some(id);
             match self.events {
-                JUDGED_AT_EVENTS => self.weigh(false, self.pace_ms(), Span::Start),
-                JUDGED_LONG_AT_EVENTS => self.weigh(false, self.pace_ms(), Span::Long),
+                JUDGED_AT_EVENTS => self.record_sample(false, self.pace_ms(), Span::Start),
+                JUDGED_LONG_AT_EVENTS => self.record_sample(false, self.pace_ms(), Span::Long),
                 _ => {}
             }
         }
@@ -265,7 +265,7 @@
         let pace_ms = self.pace_ms();
         // The pace of a longer stream was judged on its way.
         let is_timed = self.events < JUDGED_AT_EVENTS;
-        self.weigh(true, pace_ms.filter(|_| is_timed), Span::Start);
+        self.record_sample(true, pace_ms.filter(|_| is_timed), Span::Start);
         let detail = json!({
             "upstream": upstream.id, "events": self.events, "pace_ms": pace_ms,
             "longest_pause_ms": self.longest_pause_ms,
@@ -282,7 +282,7 @@
     }
 
     /// Adds what was seen of the stream to what is known of its version.
-    fn weigh(&self, is_final: bool, pace_ms: Option<f64>, span: Span) {
+    fn record_sample(&self, is_final: bool, pace_ms: Option<f64>, span: Span) {
         let upstream = &self.source.lease.upstream;
         let evidence = AnswerSample {
             upstream: &upstream.id,
@@ -299,7 +299,7 @@
                 .now_ms()
                 .saturating_sub(self.job.arrived_ms),
         };
-        weigh(&self.gateway, &self.job, upstream, &evidence);
+        record_sample(&self.gateway, &self.job, upstream, &evidence);
     }
 
     /// Gives the stream up; the caller sees it break off.
--- a/crates/ivyweir-gateway/src/stream/resume.rs
+++ b/crates/ivyweir-gateway/src/stream/resume.rs
@@ -10,7 +10,7 @@
 
 use super::{Source, Stream};
 use crate::attempt::{self, Reply, Sending, Sent};
-use crate::judge::judge_head;
+use crate::canary::record_head;
 use crate::tries::{choose, has_attempt};
 
 impl Stream {
@@ -69,7 +69,7 @@
             }
             self.tried.push(choice.upstream.id.clone());
             if let Sent::Answered(reply) = sent {
-                judge_head(&self.gateway, &self.job, &reply, self.model);
+                record_head(&self.gateway, &self.job, &reply, self.model);
                 if reply.response.status().is_success() {
                     self.go_on_at(*reply);
                     return true;
--- a/crates/ivyweir-gateway/src/tries.rs
+++ b/crates/ivyweir-gateway/src/tries.rs
@@ -120,7 +120,7 @@
         has_attempt(gateway, job, tries.sent)
     } else {
         tries.unreached += 1;
-        may_try_another(gateway, job, tries) && (!job.is_keyed || gateway.may_serve_keys())
+        may_try_another(gateway, job, tries) && (!job.is_authenticated || gateway.may_serve_keys())
     };
     if goes_on {
         return Ok(());
@@ -170,9 +170,9 @@
     tried: &[Name],
     model: usize,
 ) -> Result<Choice, ChooseError> {
-    let mut ask = job.ask(model, gateway.estimate(job, model), &gateway.settings);
+    let mut request = job.placement_request(model, gateway.estimate(job, model), &gateway.settings);
     if gateway.suspicion(job.fingerprint) == Suspicion::UpstreamEnded {
-        ask.isolation_hash = Some(job.fingerprint.bits());
+        request.isolation_hash = Some(job.fingerprint.bits());
     }
     let among = |tried: &[Name]| {
         let scope = Scope {
@@ -180,7 +180,7 @@
             side: job.side,
             tried,
         };
-        gateway.choose(&scope, &ask)
+        gateway.choose(&scope, &request)
     };
     among(tried).or_else(|_| among(tried.last().map_or(&[], std::slice::from_ref)))
 }
@@ -192,7 +192,7 @@
         ChooseError::HallsDrained => Reason::HallsDrained,
         ChooseError::AllCold => Reason::AllCold,
         ChooseError::AllBackingOff { for_ms } => Reason::AllBackingOff {
-            come_back_ms: spread_retry_after_ms(for_ms, job.rank(), job.seed),
+            come_back_ms: spread_retry_after_ms(for_ms, job.priority(), job.seed),
         },
     }
 }
