--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream, up to the head of its answer.
+//! One attempt of a request at one upstream, up to the head of the response.
 
 use std::io;
 use std::sync::Arc;
@@ -21,20 +21,20 @@
 use crate::log::Trace;
 use crate::state::{Gateway, Suspicion};
 
-/// Counts a request at an upstream while it lives, and holds its connection.
-pub struct Lease {
+/// Guard for a request at an upstream. It counts towards the upstream's load until it is dropped, and owns the
+/// connection.
+pub struct InFlightRequest {
     gateway: Arc<Gateway>,
-    /// The upstream.
     pub upstream: Arc<UpstreamRecord>,
-    channel: Option<Connection>,
+    connection: Option<Connection>,
     estimate: Estimate,
-    is_read: bool,
+    is_prefilled: bool,
     key: RunKey,
-    /// Whether the request was sent, and has not been settled since.
+    /// Whether the request was sent and its run at the upstream has not ended.
     is_running: bool,
 }
 
-impl Lease {
+impl InFlightRequest {
     fn new(
         gateway: Arc<Gateway>,
         upstream: Arc<UpstreamRecord>,
@@ -45,27 +45,27 @@
         Self {
             gateway,
             upstream,
-            channel: None,
+            connection: None,
             estimate,
-            is_read: false,
+            is_prefilled: false,
             key,
             is_running: false,
         }
     }
 
-    /// Takes in that the request is sent now.
-    fn begin(&mut self) {
+    /// Records that the request is being sent.
+    fn record_sent(&mut self) {
         self.is_running = true;
         self.gateway.run_began(&self.upstream.id, self.key);
     }
 
-    /// Takes in that the upstream has nothing more to do with the request.
+    /// Records that the upstream does not run the request any more.
     pub fn settle(&mut self) {
-        self.leave(RunEnd::Settled);
+        self.end_run(RunEnd::Settled);
     }
 
-    /// Takes in that the whole answer came. A failure clears nothing: it may come from an upstream that
-    /// never began.
+    /// Records that the complete response arrived. A failure does not clear the request of suspicion, as the upstream
+    /// may never have begun to run it.
     pub fn complete(&mut self, is_success: bool) {
         self.settle();
         if is_success {
@@ -73,134 +73,136 @@
         }
     }
 
-    fn leave(&mut self, how: RunEnd) {
+    fn end_run(&mut self, end: RunEnd) {
         if std::mem::take(&mut self.is_running) {
             let id = &self.upstream.id;
-            self.gateway.run_left(id, self.key, how);
+            self.gateway.run_left(id, self.key, end);
         }
     }
 
-    /// Takes in that the upstream has read the request: its answer has begun.
-    fn read(&mut self) {
-        self.is_read = true;
-        let done_ms = self.estimate.prefill_ms;
+    /// Records that the upstream has prefilled the prompt, as its response has begun.
+    fn record_prefilled(&mut self) {
+        self.is_prefilled = true;
+        let prefilled_ms = self.estimate.prefill_ms;
         let id = &self.upstream.id;
-        self.gateway.with_load(id, |load, _| load.progress(done_ms));
+        self.gateway
+            .with_load(id, |load, _| load.progress(prefilled_ms));
     }
 
-    fn work_left_ms(&self) -> f64 {
-        if self.is_read {
+    fn remaining_work_ms(&self) -> f64 {
+        if self.is_prefilled {
             self.estimate.decode_ms
         } else {
             self.estimate.total_ms()
         }
     }
 
-    /// Keeps the connection for later: the whole answer was read.
-    pub fn keep_channel(&mut self, keep_ms: Option<u64>) {
-        if let (Some(channel), Some(keep_ms)) = (self.channel.take(), keep_ms) {
+    /// Returns the connection to the pool, after the complete response has been read.
+    pub fn release_connection(&mut self, keep_alive_ms: Option<u64>) {
+        if let (Some(connection), Some(keep_alive_ms)) = (self.connection.take(), keep_alive_ms) {
             let now_ms = self.gateway.clock.now_ms();
             let channels = &self.gateway.channels;
-            channels.keep(&self.upstream.id, channel, keep_ms, now_ms);
+            channels.keep(&self.upstream.id, connection, keep_alive_ms, now_ms);
         }
     }
 
-    /// Takes in how the answer ended.
-    pub fn outcome(&self, failed: bool) {
+    /// Records for the upstream's load statistics whether the request failed.
+    pub fn record_outcome(&self, failed: bool) {
         let id = &self.upstream.id;
         self.gateway
             .with_load(id, |load, now_ms| load.record_outcome(failed, now_ms));
     }
 
-    /// Takes in that the connection broke, and finds out whether the upstream itself ended.
-    pub fn broke(&mut self) {
-        self.outcome(true);
-        self.leave(RunEnd::ConnectionLost);
+    /// Records that the connection broke, and probes whether the upstream itself has ended.
+    pub fn record_broken_connection(&mut self) {
+        self.record_outcome(true);
+        self.end_run(RunEnd::ConnectionLost);
         self.gateway.run_broke(self.key.fingerprint);
         liveness::probe(&self.gateway, &self.upstream);
     }
 }
 
-impl Drop for Lease {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        // An answer that was put aside may have broken off unread.
-        if self.is_running && self.channel.as_ref().is_some_and(Connection::is_closed) {
+        // The connection may have broken while a set-aside response was not being read.
+        if self.is_running && self.connection.as_ref().is_some_and(Connection::is_closed) {
             liveness::probe(&self.gateway, &self.upstream);
-            self.leave(RunEnd::ConnectionLost);
+            self.end_run(RunEnd::ConnectionLost);
         }
-        self.leave(RunEnd::Cancelled);
-        let left_ms = self.work_left_ms();
+        self.end_run(RunEnd::Cancelled);
+        let remaining_ms = self.remaining_work_ms();
         self.gateway
-            .with_load(&self.upstream.id, |load, _| load.end(left_ms));
+            .with_load(&self.upstream.id, |load, _| load.end(remaining_ms));
     }
 }
 
-/// The head of an answer and the way to the rest.
+/// The head of an upstream's response, and what is needed to read its body.
 pub struct Reply {
-    /// Status, headers and the body to come.
+    /// Status, headers and the unread body.
     pub response: Response<Incoming>,
-    /// What the upstream says of it.
+    /// Metadata from the response headers.
     pub marks: AnswerMarks,
-    /// The upstream and its connection.
-    pub lease: Lease,
-    /// How long its connection may be kept afterwards.
-    pub keep_ms: Option<u64>,
-    /// Whether its end is told by more than the end of the connection.
+    /// Guard for the request at the upstream.
+    pub in_flight: InFlightRequest,
+    /// Time for which the connection may be kept idle afterwards; `None` if it must be closed.
+    pub keep_alive_ms: Option<u64>,
+    /// Whether the end of the body is known other than by the end of the connection.
     pub is_framed: bool,
-    /// Time from sending the request to the head of its answer.
+    /// Time from sending the request to the head of the response.
     pub head_after_ms: u64,
 }
 
-/// What became of a send.
-pub enum Sent {
-    /// The upstream took the request and answers.
+/// Outcome of an attempt.
+pub enum AttemptOutcome {
+    /// The upstream responded.
     Answered(Box<Reply>),
-    /// No byte left, or the upstream says that the request does not run.
+    /// The request did not run: no byte of it was sent, or the upstream rejected it.
     NotRun {
         /// Whether the request reached the upstream.
         arrived: bool,
     },
-    /// It may have run; there is no answer to use.
+    /// The request may have run, but there is no usable response.
     Lost,
 }
 
-/// What is sent, beyond the job itself.
+/// Options of an attempt, beyond the job itself.
 #[derive(Debug, Clone, Copy)]
-pub struct Sending {
-    /// The model, by its place from the smallest.
+pub struct AttemptOptions {
+    /// Index of the model, from the smallest.
     pub model: usize,
-    /// The event behind which the stream goes on.
+    /// Id of the event after which the stream resumes.
     pub resume_after: Option<u64>,
-    /// Longest wait for the head of the answer.
-    pub wait_ms: u64,
+    /// Time limit for the head of the response.
+    pub head_timeout_ms: u64,
 }
 
-/// Sends a job to an upstream.
+/// Sends a job to an upstream and waits for the head of the response.
 pub async fn send(
     gateway: &Arc<Gateway>,
     job: &Job,
     upstream: &Arc<UpstreamRecord>,
-    sending: Sending,
+    options: AttemptOptions,
     trace: &mut Trace,
-) -> Sent {
-    let estimate = gateway.estimate(job, sending.model);
-    let mut lease = Lease::new(gateway.clone(), upstream.clone(), estimate, job.run_key());
-    // A kept connection may have been closed by the upstream meanwhile; a fresh one cannot.
-    // Nor is one used for a request whose connection just broke: where many upstreams end at a moment it would be
-    // sent into a connection to another one that has ended, and taken to have been there.
-    let mut kept = if gateway.suspicion(job.fingerprint) != Suspicion::None {
+) -> AttemptOutcome {
+    let estimate = gateway.estimate(job, options.model);
+    let mut in_flight =
+        InFlightRequest::new(gateway.clone(), upstream.clone(), estimate, job.run_key());
+    // The upstream may have closed a pooled connection in the meantime, so a failure to send on one is retried on a new
+    // connection. A request whose connection just broke gets a new connection at once: if many upstreams end at the
+    // same time, a pooled connection may lead to another ended one, and the request would be suspected of that end too.
+    let mut pooled = if gateway.suspicion(job.fingerprint) != Suspicion::None {
         None
     } else {
         let now_ms = gateway.clock.now_ms();
         gateway.channels.take(&upstream.id, now_ms)
     };
     loop {
-        let is_kept = kept.is_some();
-        let mut channel = match kept.take() {
-            Some(channel) => channel,
+        let is_pooled = pooled.is_some();
+        let mut connection = match pooled.take() {
+            Some(connection) => connection,
             None => match connect(gateway, job, upstream, trace).await {
-                Some(channel) => channel,
-                None => return Sent::NotRun { arrived: false },
+                Some(connection) => connection,
+                None => return AttemptOutcome::NotRun { arrived: false },
             },
         };
         if job.is_authenticated && !gateway.may_serve_keys() {
@@ -208,66 +210,66 @@
                 "keys_not_current",
                 json!({"proof_age_ms": gateway.proof_age_ms()}),
             );
-            return Sent::NotRun { arrived: false };
+            return AttemptOutcome::NotRun { arrived: false };
         }
         if let Err(why) = gateway.begin_send(upstream, job.fingerprint) {
             let detail = json!({"upstream": upstream.id, "why": format!("{why:?}")});
             trace.fail("withheld", detail);
-            count(gateway, job, "withheld");
-            return Sent::NotRun { arrived: false };
+            count_attempt(gateway, job, "withheld");
+            return AttemptOutcome::NotRun { arrived: false };
         }
-        let forward = forward(gateway, job, upstream, sending, estimate);
+        let forward = forward_metadata(gateway, job, upstream, options, estimate);
         let request = job.upstream_request(&*gateway.dialect, &forward);
         let sent_at_ms = gateway.clock.now_ms();
-        lease.begin();
-        let limit = Duration::from_millis(sending.wait_ms);
+        in_flight.record_sent();
+        let limit = Duration::from_millis(options.head_timeout_ms);
         let mut replaced = gateway.watch_replaced(&upstream.id);
-        let answer = tokio::select! {
-            answer = timeout(limit, channel.send(request)) => answer,
+        let result = tokio::select! {
+            result = timeout(limit, connection.send(request)) => result,
             () = replaced.replaced(gateway) => {
-                lease.broke();
+                in_flight.record_broken_connection();
                 trace.fail("upstream_replaced", json!({"upstream": upstream.id}));
-                count(gateway, job, "lost");
-                return Sent::Lost;
+                count_attempt(gateway, job, "lost");
+                return AttemptOutcome::Lost;
             }
         };
-        match answer {
+        match result {
             Ok(Ok(response)) => {
-                lease.channel = Some(channel);
+                in_flight.connection = Some(connection);
                 let head_after_ms = gateway.clock.now_ms() - sent_at_ms;
-                return answered(gateway, job, lease, response, head_after_ms, trace);
+                return classify_response(gateway, job, in_flight, response, head_after_ms, trace);
             }
-            Ok(Err(SendError::NotSent)) if is_kept => lease.settle(),
+            Ok(Err(SendError::NotSent)) if is_pooled => in_flight.settle(),
             Ok(Err(SendError::NotSent)) => {
-                lease.settle();
+                in_flight.settle();
                 gateway.with_load(&upstream.id, |load, now_ms| {
                     load.record_connection_failure(now_ms)
                 });
                 trace.fail("not_sent", json!({"upstream": upstream.id}));
-                count(gateway, job, "not_sent");
-                return Sent::NotRun { arrived: false };
+                count_attempt(gateway, job, "not_sent");
+                return AttemptOutcome::NotRun { arrived: false };
             }
             Ok(Err(SendError::ResponseLost(e))) => {
-                lease.broke();
+                in_flight.record_broken_connection();
                 let detail = json!({
-                    "upstream": upstream.id, "error": e.to_string(), "kept_connection": is_kept,
+                    "upstream": upstream.id, "error": e.to_string(), "kept_connection": is_pooled,
                 });
                 trace.fail("answer_lost", detail);
-                count(gateway, job, "lost");
-                return Sent::Lost;
+                count_attempt(gateway, job, "lost");
+                return AttemptOutcome::Lost;
             }
             Err(_) => {
-                lease.outcome(true);
-                let detail = json!({"upstream": upstream.id, "waited_ms": sending.wait_ms});
+                in_flight.record_outcome(true);
+                let detail = json!({"upstream": upstream.id, "waited_ms": options.head_timeout_ms});
                 trace.fail("no_head_in_time", detail);
-                count(gateway, job, "late");
-                return Sent::Lost;
+                count_attempt(gateway, job, "late");
+                return AttemptOutcome::Lost;
             }
         }
     }
 }
 
-/// Opens a connection, or takes in that there is none.
+/// Opens a connection, or records and logs the failure.
 async fn connect(
     gateway: &Gateway,
     job: &Job,
@@ -275,7 +277,7 @@
     trace: &mut Trace,
 ) -> Option<Connection> {
     match Connection::open(upstream.addr).await {
-        Ok(channel) => Some(channel),
+        Ok(connection) => Some(connection),
         Err(e) => {
             let detail = json!({"upstream": upstream.id, "error": e.to_string()});
             trace.fail("connect_failed", detail);
@@ -285,31 +287,31 @@
             gateway.with_load(&upstream.id, |load, now_ms| {
                 load.record_connection_failure(now_ms)
             });
-            count(gateway, job, "connect_failed");
+            count_attempt(gateway, job, "connect_failed");
             None
         }
     }
 }
 
-/// Takes in the head of an answer; tells whether the answer is to be used.
-fn answered(
+/// Records the head of a response and decides whether the response is usable.
+fn classify_response(
     gateway: &Arc<Gateway>,
     job: &Job,
-    mut lease: Lease,
+    mut in_flight: InFlightRequest,
     response: Response<Incoming>,
     head_after_ms: u64,
     trace: &mut Trace,
-) -> Sent {
+) -> AttemptOutcome {
     let status = response.status().as_u16();
-    gateway.note_unread(&lease.upstream.id, response.headers());
+    gateway.note_unread(&in_flight.upstream.id, response.headers());
     let marks = gateway.dialect.answer(status, response.headers());
-    let keep_ms = keep_alive_ms(response.headers());
+    let keep_alive_ms = keep_alive_ms(response.headers());
     let is_framed = is_framed(response.headers());
-    lease.read();
-    let upstream: &Name = &lease.upstream.id.clone();
-    let is_own = !marks.not_run && belongs(job, &marks, status);
+    in_flight.record_prefilled();
+    let upstream: &Name = &in_flight.upstream.id.clone();
+    let is_genuine = !marks.not_run && is_response_to(job, &marks, status);
     let statement = Statement {
-        response_time_ms: is_own.then_some(head_after_ms),
+        response_time_ms: is_genuine.then_some(head_after_ms),
         ..marks.statement
     };
     let detail = json!({
@@ -320,58 +322,59 @@
     });
     if marks.is_other_incarnation {
         trace.fail("other_incarnation", detail);
-        lease.settle();
+        in_flight.settle();
         gateway.upstream_left(upstream);
-        count(gateway, job, "other_incarnation");
-        return Sent::NotRun { arrived: true };
+        count_attempt(gateway, job, "other_incarnation");
+        return AttemptOutcome::NotRun { arrived: true };
     }
-    // Before anything is made of the answer: whatever becomes of it, its upstream has spoken.
+    // Recorded before the response is examined: the upstream's statement holds even if the response is discarded.
     gateway.hear(upstream, &statement);
     count_statement(gateway, job, &statement);
     if marks.not_run {
         trace.fail("upstream_refused", detail);
-        lease.settle();
-        lease.outcome(true);
+        in_flight.settle();
+        in_flight.record_outcome(true);
         if response.body().is_end_stream() {
-            lease.keep_channel(keep_ms);
+            in_flight.release_connection(keep_alive_ms);
         }
-        count(gateway, job, "refused");
-        return Sent::NotRun { arrived: true };
+        count_attempt(gateway, job, "refused");
+        return AttemptOutcome::NotRun { arrived: true };
     }
-    if !is_own {
+    if !is_genuine {
         trace.fail("not_our_answer", detail);
-        lease.outcome(true);
-        count(gateway, job, "spoilt");
-        return Sent::Lost;
+        in_flight.record_outcome(true);
+        count_attempt(gateway, job, "spoilt");
+        return AttemptOutcome::Lost;
     }
-    count(gateway, job, "answered");
-    Sent::Answered(Box::new(Reply {
+    count_attempt(gateway, job, "answered");
+    AttemptOutcome::Answered(Box::new(Reply {
         response,
         marks,
-        lease,
-        keep_ms,
+        in_flight,
+        keep_alive_ms,
         is_framed,
         head_after_ms,
     }))
 }
 
-/// Whether an answer's end is told by its length or its last chunk.
+/// Returns whether the body length is known from a header or from chunked encoding.
 fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(header::CONTENT_LENGTH) || headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Whether an answer is the upstream's own to this request.
-fn belongs(job: &Job, marks: &AnswerMarks, status: u16) -> bool {
+/// Returns whether a response was produced by the upstream for this request: it echoes the request id, and it is
+/// signed if it is a success.
+fn is_response_to(job: &Job, marks: &AnswerMarks, status: u16) -> bool {
     let is_success = (200..300).contains(&status);
     marks.request_id == job.envelope.request_id && (marks.is_signed || !is_success)
 }
 
-/// What the system says to this upstream.
-fn forward<'a>(
+/// Builds the metadata that the gateway adds for this upstream.
+fn forward_metadata<'a>(
     gateway: &Gateway,
     job: &'a Job,
     upstream: &'a UpstreamRecord,
-    sending: Sending,
+    options: AttemptOptions,
     estimate: Estimate,
 ) -> Forward<'a> {
     let left_ms = job.deadline_ms.saturating_sub(gateway.clock.now_ms());
@@ -381,18 +384,18 @@
         workspace: job.workspace.as_ref().map(|w| &*w.name),
         model: job
             .chooses_model()
-            .then(|| &*job.route.models[sending.model]),
-        resume_after: sending.resume_after,
+            .then(|| &*job.route.models[options.model]),
+        resume_after: options.resume_after,
         urgency: (job.route.kind.is_stream() && gateway.settings.policy.rank_prompts)
             .then(|| estimate.rank()),
     }
 }
 
-/// Counts what an upstream says of itself, beyond its load.
+/// Counts the statements of an upstream other than its load.
 fn count_statement(gateway: &Gateway, job: &Job, statement: &Statement) {
-    let count = |says: &str| {
+    let count = |label: &str| {
         let statements = &gateway.metrics.upstream_statements;
-        statements.with_label_values(&[&*job.pool, says]).inc();
+        statements.with_label_values(&[&*job.pool, label]).inc();
     };
     if statement.is_leaving {
         count("leaving");
@@ -409,7 +412,7 @@
     }
 }
 
-fn count(gateway: &Gateway, job: &Job, outcome: &str) {
+fn count_attempt(gateway: &Gateway, job: &Job, outcome: &str) {
     let sends = &gateway.metrics.sends;
     sends.with_label_values(&[&*job.pool, outcome]).inc();
 }
--- a/crates/ivyweir-gateway/src/canary.rs
+++ b/crates/ivyweir-gateway/src/canary.rs
@@ -10,13 +10,13 @@
 /// Records the head of a response for its upstream and version. A stream that did not fail is sampled later.
 pub fn record_head(gateway: &Gateway, job: &Job, reply: &Reply, model: usize) {
     let failed = reply.response.status().is_server_error();
-    reply.lease.outcome(failed);
+    reply.in_flight.record_outcome(failed);
     if reply.response.status().is_success() {
         record_prefill_pace(gateway, job, reply, model);
     }
     if failed || !job.route.kind.is_stream() {
         let sample = AnswerSample {
-            upstream: &reply.lease.upstream.id,
+            upstream: &reply.in_flight.upstream.id,
             failed,
             is_final: true,
             lane: job.lane(model),
@@ -26,7 +26,7 @@
             running: reply.marks.running(),
             queue: reply.marks.queue(),
         };
-        record_sample(gateway, job, &reply.lease.upstream, &sample);
+        record_sample(gateway, job, &reply.in_flight.upstream, &sample);
     }
 }
 
--- a/crates/ivyweir-gateway/src/gather.rs
+++ b/crates/ivyweir-gateway/src/gather.rs
@@ -28,8 +28,8 @@
 ) -> Result<Response<ResponseBody>, Name> {
     let Reply {
         response,
-        mut lease,
-        keep_ms,
+        mut in_flight,
+        keep_alive_ms,
         is_framed,
         marks,
         ..
@@ -37,13 +37,13 @@
     let (mut head, body) = response.into_parts();
     let left_ms = job.deadline_ms.saturating_sub(gateway.clock.now_ms());
     let limit = Duration::from_millis(left_ms);
-    let upstream = lease.upstream.id.clone();
+    let upstream = in_flight.upstream.id.clone();
     let mut replaced = gateway.watch_replaced(&upstream);
     let body = tokio::select! {
         biased;
         body = timeout(limit, Limited::new(body, WHOLE_ANSWER_BYTES).collect()) => body,
         () = replaced.replaced(gateway) => {
-            lease.broke();
+            in_flight.record_broken_connection();
             trace.fail("upstream_replaced", json!({"upstream": upstream}));
             return Err(upstream);
         }
@@ -51,7 +51,7 @@
     let bytes = match body {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(e)) => {
-            lease.broke();
+            in_flight.record_broken_connection();
             trace.fail(
                 "answer_broke_off",
                 json!({"upstream": upstream, "error": e.to_string()}),
@@ -63,8 +63,8 @@
             return Err(upstream);
         }
     };
-    lease.complete(is_framed && head.status.is_success());
-    lease.keep_channel(keep_ms);
+    in_flight.complete(is_framed && head.status.is_success());
+    in_flight.release_connection(keep_alive_ms);
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     let detail = json!({
--- a/crates/ivyweir-gateway/src/headers.rs
+++ b/crates/ivyweir-gateway/src/headers.rs
@@ -1,6 +1,6 @@
-//! A dialect that differs from others in its header names only.
+//! A [`Dialect`] with configurable header names.
 //!
-//! Values have the same forms everywhere: whole numbers, lists with commas, `ID:TOKENS` pairs.
+//! The formats of the values are fixed: whole numbers, comma-separated lists and `ID:TOKENS` pairs.
 
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName, HeaderValue};
@@ -12,68 +12,68 @@
 
 use crate::dialect::{AnswerMarks, Dialect, Envelope, Forward, PromptPart};
 
-/// Header names of a dialect.
+/// Header names and readiness path of a dialect.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Path at which the balancer asks.
+    /// Path of the load balancer's readiness check.
     pub ready_path: &'static str,
-    /// Id of a try, on requests and answers.
+    /// Id of one try of a request, on requests and responses.
     pub request_id: HeaderName,
-    /// Time for which the caller waits, in milliseconds.
+    /// Time for which the caller waits, in milliseconds from now.
     pub budget_ms: HeaderName,
-    /// The incarnation that is to run a request.
+    /// The upstream incarnation that is to run a request; any other must refuse it.
     pub upstream_id: HeaderName,
-    /// Whose request it is.
+    /// Workspace of the request.
     pub workspace: HeaderName,
-    /// The model; `*` leaves it to the system.
+    /// The model; `*` lets the gateway choose it.
     pub model: HeaderName,
-    /// `PROMPT,MOST_OUT`, in tokens.
+    /// `PROMPT,MAX_OUTPUT`, in tokens.
     pub token_counts: HeaderName,
-    /// The caller's guess of tokens that come out.
-    pub out_guess: HeaderName,
-    /// Parts of the prompt, `ID:TOKENS` each.
+    /// The caller's estimate of the output length, in tokens.
+    pub output_estimate: HeaderName,
+    /// Parts of the prompt, a comma-separated list of `ID:TOKENS`.
     pub prompt_parts: HeaderName,
-    /// Requests of one session carry the same.
+    /// Session id, the same on all requests of a session.
     pub session: HeaderName,
-    /// Rank at the engine, 0 first.
+    /// Scheduling rank at the engine, 0 first.
     pub urgency: HeaderName,
-    /// The upstream's signature of its answer.
+    /// The upstream's signature of its response.
     pub signature: HeaderName,
-    /// `RUNNING,WAITING,SLOTS` of the upstream.
+    /// Load of the upstream: `RUNNING,WAITING,SLOTS`.
     pub load: HeaderName,
-    /// `1` says that the upstream leaves.
+    /// `1` if the upstream is about to leave the pool.
     pub leaving: HeaderName,
-    /// Requests a second that the upstream takes from all boxes together, a decimal number.
+    /// Request rate that the upstream accepts from all boxes together, per second, as a decimal number.
     pub limit: HeaderName,
-    /// The model's opinion of its answer, 0 to 100.
+    /// The model's confidence in its response, 0 to 100.
     pub confidence: HeaderName,
-    /// Says that the request did not run and will not.
+    /// Present if the request did not run and will not run.
     pub not_run: HeaderName,
     /// Further headers that only the system may set.
     pub system_only: Vec<HeaderName>,
-    /// How the dialect's names begin.
+    /// Prefixes of the dialect's header names.
     pub prefixes: &'static [&'static str],
 }
 
-/// In place of a model: the system chooses.
+/// Value of the model header that lets the gateway choose.
 const ANY_MODEL: &str = "*";
-/// Status of an upstream that is not the incarnation meant.
+/// Status with which an upstream refuses a request for another incarnation.
 const MISDIRECTED: u16 = 421;
-/// Status with which an upstream turns a request away; it may say for how long it wants none.
+/// Status with which an upstream rejects a request; its `Retry-After` is honoured.
 const UNAVAILABLE: u16 = 503;
-/// What an upstream that leaves says.
+/// Value of the leaving header if the upstream is about to leave.
 const LEAVING: &str = "1";
 const BEARER: &str = "Bearer ";
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// A dialect with these header names.
+/// A dialect with configurable header names.
 #[derive(Debug, Clone)]
 pub struct HeaderDialect {
     names: HeaderNames,
 }
 
 impl HeaderDialect {
-    /// The dialect with these names.
+    /// Creates a dialect with these names.
     pub fn new(names: HeaderNames) -> Self {
         Self { names }
     }
@@ -86,17 +86,18 @@
 
     fn envelope(&self, headers: &HeaderMap) -> Envelope {
         let names = &self.names;
-        let session = text(headers, &names.session);
+        let session = header_text(headers, &names.session);
         Envelope {
-            request_id: text(headers, &names.request_id).map(Name::from),
-            budget_ms: text(headers, &names.budget_ms).and_then(whole_ms),
-            key: text(headers, &header::AUTHORIZATION)
+            request_id: header_text(headers, &names.request_id).map(Name::from),
+            budget_ms: header_text(headers, &names.budget_ms).and_then(parse_ms),
+            key: header_text(headers, &header::AUTHORIZATION)
                 .and_then(|value| value.strip_prefix(BEARER))
                 .map(Name::from),
-            any_model: text(headers, &names.model) == Some(ANY_MODEL),
-            out_tokens: self.out_tokens(headers),
-            parts: text(headers, &names.prompt_parts).map_or_else(Vec::new, prompt_parts),
-            last_event_id: text(headers, &LAST_EVENT_ID).and_then(|id| id.parse().ok()),
+            any_model: header_text(headers, &names.model) == Some(ANY_MODEL),
+            out_tokens: self.parse_out_tokens(headers),
+            parts: header_text(headers, &names.prompt_parts)
+                .map_or_else(Vec::new, parse_prompt_parts),
+            last_event_id: header_text(headers, &LAST_EVENT_ID).and_then(|id| id.parse().ok()),
             session: session.map(|session| hash64(&[session.as_bytes()])),
         }
     }
@@ -120,9 +121,9 @@
     fn mark(&self, headers: &mut HeaderMap, forward: &Forward) {
         let names = &self.names;
         headers.insert(&names.budget_ms, HeaderValue::from(forward.budget_ms));
-        set(headers, &names.upstream_id, Some(forward.upstream_name));
-        set(headers, &names.workspace, forward.workspace);
-        set(headers, &names.model, forward.model);
+        set_header(headers, &names.upstream_id, Some(forward.upstream_name));
+        set_header(headers, &names.workspace, forward.workspace);
+        set_header(headers, &names.model, forward.model);
         if let Some(id) = forward.resume_after {
             headers.insert(LAST_EVENT_ID, HeaderValue::from(id));
         }
@@ -134,20 +135,21 @@
     fn answer(&self, status: u16, headers: &HeaderMap) -> AnswerMarks {
         let names = &self.names;
         AnswerMarks {
-            request_id: text(headers, &names.request_id).map(Name::from),
+            request_id: header_text(headers, &names.request_id).map(Name::from),
             is_signed: headers.contains_key(&names.signature),
             not_run: headers.contains_key(&names.not_run),
             is_other_incarnation: status == MISDIRECTED,
             statement: Statement {
-                load: text(headers, &names.load).and_then(reported_load),
-                is_leaving: text(headers, &names.leaving).map(str::trim) == Some(LEAVING),
+                load: header_text(headers, &names.load).and_then(parse_load),
+                is_leaving: header_text(headers, &names.leaving).map(str::trim) == Some(LEAVING),
                 retry_after: (status == UNAVAILABLE)
-                    .then(|| retry_after(headers))
+                    .then(|| parse_retry_after(headers))
                     .flatten(),
-                limit: named_limit(headers, &names.limit),
+                limit: parse_limit(headers, &names.limit),
                 ..Statement::new(Source::Answer)
             },
-            confidence: text(headers, &names.confidence).and_then(|value| value.parse().ok()),
+            confidence: header_text(headers, &names.confidence)
+                .and_then(|value| value.parse().ok()),
         }
     }
 
@@ -158,13 +160,13 @@
             prefixes.any(|prefix| name.as_str().starts_with(prefix))
         };
         let own = headers.keys().filter(is_own);
-        own.filter(|name| !names.is_read(name)).collect()
+        own.filter(|name| !names.is_parsed(name)).collect()
     }
 }
 
 impl HeaderNames {
-    /// Whether this name is read on answers.
-    fn is_read(&self, name: &HeaderName) -> bool {
+    /// Returns whether this header is parsed on responses.
+    fn is_parsed(&self, name: &HeaderName) -> bool {
         let read = [
             &self.request_id,
             &self.signature,
@@ -179,51 +181,53 @@
 }
 
 impl HeaderDialect {
-    /// The caller's guess, or else the limit behind the comma of `PROMPT,MOST_OUT`.
-    fn out_tokens(&self, headers: &HeaderMap) -> Option<u32> {
-        let guess = text(headers, &self.names.out_guess).and_then(|value| value.parse().ok());
+    /// Returns the caller's output estimate, or else the limit after the comma of `PROMPT,MAX_OUTPUT`.
+    fn parse_out_tokens(&self, headers: &HeaderMap) -> Option<u32> {
+        let estimate =
+            header_text(headers, &self.names.output_estimate).and_then(|value| value.parse().ok());
         let limit = || {
-            let (_, most) = text(headers, &self.names.token_counts)?.split_once(',')?;
-            most.trim().parse().ok()
+            let (_, max_output) =
+                header_text(headers, &self.names.token_counts)?.split_once(',')?;
+            max_output.trim().parse().ok()
         };
-        guess.or_else(limit)
+        estimate.or_else(limit)
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn set(headers: &mut HeaderMap, name: &HeaderName, value: Option<&str>) {
+fn set_header(headers: &mut HeaderMap, name: &HeaderName, value: Option<&str>) {
     if let Some(value) = value.and_then(|value| HeaderValue::from_str(value).ok()) {
         headers.insert(name, value);
     }
 }
 
-fn whole_ms(value: &str) -> Option<u64> {
+fn parse_ms(value: &str) -> Option<u64> {
     let ms: f64 = value.parse().ok()?;
     (ms >= 0.0).then_some(ms as u64)
 }
 
-/// The longest of the times that a refusal says to stay away; a date counts as unreadable, since it would be by
-/// another clock.
-fn retry_after(headers: &HeaderMap) -> Option<RetryAfter> {
-    let told = headers.get_all(header::RETRY_AFTER).iter();
-    let times_ms: Vec<Option<u64>> = told
-        .map(|value| value.to_str().ok().and_then(seconds_as_ms))
+/// Returns the longest valid `Retry-After` delay. An HTTP date counts as unreadable, since it refers to another
+/// clock.
+fn parse_retry_after(headers: &HeaderMap) -> Option<RetryAfter> {
+    let values = headers.get_all(header::RETRY_AFTER).iter();
+    let delays_ms: Vec<Option<u64>> = values
+        .map(|value| value.to_str().ok().and_then(parse_seconds_as_ms))
         .collect();
-    if times_ms.is_empty() {
+    if delays_ms.is_empty() {
         return None;
     }
-    let longest_ms = times_ms.into_iter().flatten().max();
+    let longest_ms = delays_ms.into_iter().flatten().max();
     Some(longest_ms.map_or(RetryAfter::Unreadable, RetryAfter::ForMs))
 }
 
-/// The lowest of the limits that an answer names.
-fn named_limit(headers: &HeaderMap, name: &HeaderName) -> Option<DeclaredLimit> {
-    let named = headers.get_all(name).iter();
-    let limits: Vec<Option<u32>> = named
-        .map(|value| value.to_str().ok().and_then(per_s_as_per_1000_s))
+/// Returns the lowest valid rate limit of a response.
+fn parse_limit(headers: &HeaderMap, name: &HeaderName) -> Option<DeclaredLimit> {
+    let values = headers.get_all(name).iter();
+    let limits: Vec<Option<u32>> = values
+        .map(|value| value.to_str().ok().and_then(parse_rate_per_1000_s))
         .collect();
     if limits.is_empty() {
         return None;
@@ -232,20 +236,20 @@
     Some(lowest.map_or(DeclaredLimit::Unreadable, DeclaredLimit::Per1000S))
 }
 
-/// A rate a second, fractions included, as a whole one in a thousand seconds; rounded down, so that it is never more
-/// than was named.
-fn per_s_as_per_1000_s(value: &str) -> Option<u32> {
+/// Parses a decimal rate per second as a whole number per 1,000 seconds. It is rounded down, so that it never exceeds
+/// the stated rate.
+fn parse_rate_per_1000_s(value: &str) -> Option<u32> {
     let per_s: f64 = value.trim().parse().ok()?;
     (per_s.is_finite() && per_s >= 0.0).then_some((per_s * 1_000.0) as u32)
 }
 
-/// Seconds, fractions included, in whole milliseconds; rounded up, so that no part of them is lost.
-fn seconds_as_ms(value: &str) -> Option<u64> {
+/// Parses decimal seconds as whole milliseconds. They are rounded up, so that the delay is never shortened.
+fn parse_seconds_as_ms(value: &str) -> Option<u64> {
     let seconds: f64 = value.trim().parse().ok()?;
     (seconds.is_finite() && seconds >= 0.0).then_some((seconds * 1_000.0).ceil() as u64)
 }
 
-fn prompt_parts(value: &str) -> Vec<PromptPart> {
+fn parse_prompt_parts(value: &str) -> Vec<PromptPart> {
     let part = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
         Some(PromptPart {
@@ -256,7 +260,7 @@
     value.split(',').filter_map(part).collect()
 }
 
-fn reported_load(value: &str) -> Option<ReportedLoad> {
+fn parse_load(value: &str) -> Option<ReportedLoad> {
     let mut counts = value.split(',').map(|count| count.trim().parse().ok());
     Some(ReportedLoad {
         running: counts.next()??,
--- a/crates/ivyweir-gateway/src/native.rs
+++ b/crates/ivyweir-gateway/src/native.rs
@@ -28,7 +28,7 @@
         workspace: HeaderName::from_static("ivyweir-workspace"),
         model: HeaderName::from_static("ivyweir-model"),
         token_counts: HeaderName::from_static("ivyweir-token-counts"),
-        out_guess: HeaderName::from_static("ivyweir-out-guess"),
+        output_estimate: HeaderName::from_static("ivyweir-out-guess"),
         prompt_parts: HeaderName::from_static("ivyweir-prompt-parts"),
         session: HeaderName::from_static("ivyweir-session"),
         urgency: HeaderName::from_static("ivyweir-urgency"),
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -179,7 +179,7 @@
     active: Active,
 ) -> Response<ResponseBody> {
     let detail = json!({
-        "upstream": reply.lease.upstream.id, "model": model,
+        "upstream": reply.in_flight.upstream.id, "model": model,
         "confidence": reply.marks.confidence, "head_after_ms": reply.head_after_ms,
         "leaving": reply.marks.statement.is_leaving, "limit_per_s": reply.marks.statement.limit.map(DeclaredLimit::requests_per_s),
     });
@@ -212,7 +212,7 @@
     let status = reply.response.status();
     if status.is_server_error() && may_repeat(gateway, job, tries) {
         trace.step("sent_again", json!({"after_status": status.as_u16()}));
-        tries.tried.push(reply.lease.upstream.id.clone());
+        tries.tried.push(reply.in_flight.upstream.id.clone());
         tries.may_have_run = true;
         return Use::Again;
     }
--- a/crates/ivyweir-gateway/src/stream.rs
+++ b/crates/ivyweir-gateway/src/stream.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 use tokio::time::timeout_at;
 
-use crate::attempt::{Lease, Reply};
+use crate::attempt::{InFlightRequest, Reply};
 use crate::canary::record_sample;
 use crate::job::{Job, strip_hop_by_hop};
 use crate::log::Trace;
@@ -49,8 +49,8 @@
 ) -> Response<ResponseBody> {
     let Reply {
         response,
-        lease,
-        keep_ms,
+        in_flight,
+        keep_alive_ms,
         marks,
         is_framed,
         ..
@@ -63,10 +63,10 @@
         gateway: gateway.clone(),
         job,
         source: Source {
-            replaced: gateway.watch_replaced(&lease.upstream.id),
+            replaced: gateway.watch_replaced(&in_flight.upstream.id),
             body,
-            lease,
-            keep_ms,
+            in_flight,
+            keep_alive_ms,
             is_framed,
             running: marks.running(),
             heard_ms: gateway.clock.now_ms(),
@@ -95,10 +95,10 @@
 /// Where the stream comes from for now.
 struct Source {
     body: Incoming,
-    lease: Lease,
+    in_flight: InFlightRequest,
     /// Whether another incarnation takes its place.
     replaced: ReplacedWatch,
-    keep_ms: Option<u64>,
+    keep_alive_ms: Option<u64>,
     /// Whether its end is told by more than the end of the connection.
     is_framed: bool,
     /// Requests that it ran when its answer began.
@@ -158,7 +158,7 @@
                 }
                 Next::Broke(error) => {
                     self.broke(&error);
-                    let upstream = self.source.lease.upstream.id.clone();
+                    let upstream = self.source.in_flight.upstream.id.clone();
                     self.gateway.until_looked(&upstream).await;
                     if !self.resume(self.patient_until_ms()).await {
                         return Some(Err(self.break_off("stream broke off")));
@@ -259,9 +259,11 @@
     /// Takes in that the stream ended as it should.
     fn finish(&mut self) {
         self.ended = true;
-        self.source.lease.complete(self.source.is_framed);
-        self.source.lease.keep_channel(self.source.keep_ms);
-        let upstream = self.source.lease.upstream.clone();
+        self.source.in_flight.complete(self.source.is_framed);
+        self.source
+            .in_flight
+            .release_connection(self.source.keep_alive_ms);
+        let upstream = self.source.in_flight.upstream.clone();
         let pace_ms = self.pace_ms();
         // The pace of a longer stream was judged on its way.
         let is_timed = self.events < JUDGED_AT_EVENTS;
@@ -283,7 +285,7 @@
 
     /// Adds what was seen of the stream to what is known of its version.
     fn record_sample(&self, is_final: bool, pace_ms: Option<f64>, span: Span) {
-        let upstream = &self.source.lease.upstream;
+        let upstream = &self.source.in_flight.upstream;
         let evidence = AnswerSample {
             upstream: &upstream.id,
             failed: false,
--- a/crates/ivyweir-gateway/src/stream/resume.rs
+++ b/crates/ivyweir-gateway/src/stream/resume.rs
@@ -9,31 +9,31 @@
 use tokio::time::sleep;
 
 use super::{Source, Stream};
-use crate::attempt::{self, Reply, Sending, Sent};
+use crate::attempt::{self, AttemptOptions, AttemptOutcome, Reply};
 use crate::canary::record_head;
 use crate::tries::{choose, has_attempt};
 
 impl Stream {
     /// Takes in that the source broke off.
     pub(super) fn broke(&mut self, error: &str) {
-        let upstream = self.source.lease.upstream.id.clone();
+        let upstream = self.source.in_flight.upstream.id.clone();
         let detail = json!({
             "upstream": upstream, "error": error, "behind_event": self.last_event_id,
         });
         self.trace.fail("stream_broke", detail);
-        self.source.lease.broke();
+        self.source.in_flight.record_broken_connection();
         self.tried.push(upstream);
     }
 
     /// Takes in that the source sends nothing, though its connection stands.
     pub(super) fn fell_silent(&mut self) {
-        let upstream = self.source.lease.upstream.id.clone();
+        let upstream = self.source.in_flight.upstream.id.clone();
         let silent_ms = self.gateway.clock.now_ms() - self.source.heard_ms;
         let detail = json!({
             "upstream": upstream, "silent_ms": silent_ms, "behind_event": self.last_event_id,
         });
         self.trace.fail("stream_silent", detail);
-        self.source.lease.outcome(true);
+        self.source.in_flight.record_outcome(true);
         self.tried.push(upstream);
     }
 
@@ -64,11 +64,11 @@
                 return false;
             }
             let sent = self.send_to(&choice.upstream).await;
-            if !matches!(sent, Sent::NotRun { arrived: false }) {
+            if !matches!(sent, AttemptOutcome::NotRun { arrived: false }) {
                 self.sent += 1;
             }
             self.tried.push(choice.upstream.id.clone());
-            if let Sent::Answered(reply) = sent {
+            if let AttemptOutcome::Answered(reply) = sent {
                 record_head(&self.gateway, &self.job, &reply, self.model);
                 if reply.response.status().is_success() {
                     self.go_on_at(*reply);
@@ -80,20 +80,20 @@
     }
 
     /// Asks an upstream for the events behind the last one.
-    async fn send_to(&mut self, upstream: &Arc<UpstreamRecord>) -> Sent {
+    async fn send_to(&mut self, upstream: &Arc<UpstreamRecord>) -> AttemptOutcome {
         let now_ms = self.gateway.clock.now_ms();
-        let sending = Sending {
+        let options = AttemptOptions {
             model: self.model,
             resume_after: self.last_event_id,
-            wait_ms: self.job.deadline_ms.saturating_sub(now_ms),
+            head_timeout_ms: self.job.deadline_ms.saturating_sub(now_ms),
         };
         let trace = &mut self.trace;
-        attempt::send(&self.gateway, &self.job, upstream, sending, trace).await
+        attempt::send(&self.gateway, &self.job, upstream, options, trace).await
     }
 
     /// Takes an upstream's answer as the source from now on.
     fn go_on_at(&mut self, reply: Reply) {
-        let upstream = &reply.lease.upstream.id;
+        let upstream = &reply.in_flight.upstream.id;
         let detail = json!({
             "upstream": upstream, "behind_event": self.last_event_id,
             "leaving": reply.marks.statement.is_leaving,
@@ -102,10 +102,10 @@
         self.partial.clear();
         self.source = Source {
             running: reply.marks.running(),
-            replaced: self.gateway.watch_replaced(&reply.lease.upstream.id),
+            replaced: self.gateway.watch_replaced(&reply.in_flight.upstream.id),
             body: reply.response.into_body(),
-            lease: reply.lease,
-            keep_ms: reply.keep_ms,
+            in_flight: reply.in_flight,
+            keep_alive_ms: reply.keep_alive_ms,
             is_framed: reply.is_framed,
             heard_ms: self.gateway.clock.now_ms(),
             may_be_silent: false,
--- a/crates/ivyweir-gateway/src/tries.rs
+++ b/crates/ivyweir-gateway/src/tries.rs
@@ -7,7 +7,7 @@
 use ivyweir_policy::gateway::wait::spread_retry_after_ms;
 use serde_json::json;
 
-use crate::attempt::{self, Reply, Sending, Sent};
+use crate::attempt::{self, AttemptOptions, AttemptOutcome, Reply};
 use crate::job::Job;
 use crate::log::Trace;
 use crate::refusal::Reason;
@@ -75,21 +75,21 @@
                 "pace_answers": gateway.with_pace(&job.pool, |pace| pace.sample_count(tries.model)),
             }),
         );
-        let sending = Sending {
+        let options = AttemptOptions {
             model: tries.model,
             resume_after: None,
-            wait_ms: wait_ms(job, tries, now_ms),
+            head_timeout_ms: head_timeout_ms(job, tries, now_ms),
         };
-        match attempt::send(gateway, job, &choice.upstream, sending, trace).await {
-            Sent::Answered(reply) => {
+        match attempt::send(gateway, job, &choice.upstream, options, trace).await {
+            AttemptOutcome::Answered(reply) => {
                 tries.sent += 1;
                 return Ok(reply);
             }
-            Sent::NotRun { arrived } => {
+            AttemptOutcome::NotRun { arrived } => {
                 tries.tried.push(choice.upstream.id.clone());
                 not_run(gateway, job, tries, arrived)?;
             }
-            Sent::Lost => {
+            AttemptOutcome::Lost => {
                 tries.tried.push(choice.upstream.id.clone());
                 // Before its caller hears of it too, who may come again at once: an end counts for the next try.
                 gateway.until_looked(&choice.upstream.id).await;
@@ -219,7 +219,7 @@
 }
 
 /// How long the head of the answer is waited for: all the time, unless a repeat is left.
-fn wait_ms(job: &Job, tries: &Tries, now_ms: u64) -> u64 {
+fn head_timeout_ms(job: &Job, tries: &Tries, now_ms: u64) -> u64 {
     let left_ms = job.deadline_ms.saturating_sub(now_ms);
     let is_plain_safe = !job.route.kind.is_stream() && job.route.kind.is_repeatable();
     if is_plain_safe && tries.sent + 1 < job.route.max_attempts {
