--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -43,6 +43,7 @@
 mod pipeline;
 mod refusal;
 mod response;
+mod retry;
 mod server;
 mod settings;
 pub mod settings_file;
@@ -51,7 +52,6 @@
 mod store_news;
 mod stream;
 mod sync;
-mod tries;
 mod words;
 
 use std::io;
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! The way of a request: read, route, admit, choose, send, pass on.
+//! The request pipeline: read, route, admit, choose an upstream, send, relay the response.
 
 use std::sync::Arc;
 
@@ -17,11 +17,11 @@
 use crate::log::Trace;
 use crate::refusal::Reason;
 use crate::response::ResponseBody;
+use crate::retry::{RetryState, choose_upstream, next_reply, take_retry};
 use crate::state::{Active, Gateway};
 use crate::stream;
-use crate::tries::{Tries, choose, may_repeat, next_reply};
 
-/// Answers a request.
+/// Handles a request of a caller.
 pub async fn handle(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
     let active = gateway.begin_request();
     let arrived_ms = gateway.clock.now_ms();
@@ -32,7 +32,7 @@
     let path = head.uri.path().to_owned();
     let admitted = admit(&gateway, head, body, arrived_ms, &mut trace).await;
     let close = gateway.stopping_for_ms().is_some();
-    let (route, answer) = match admitted {
+    let (route, response) = match admitted {
         Ok(job) => {
             let route = job.route.name.clone();
             (route, serve(&gateway, Arc::new(job), trace, active).await)
@@ -47,19 +47,19 @@
             ("-".into(), Err(reason))
         }
     };
-    finish(&gateway, &route, arrived_ms, answer, close)
+    finish(&gateway, &route, arrived_ms, response, close)
 }
 
-/// Counts the answer, and asks the caller for a new connection where this box stops.
+/// Records the metrics of a response, and closes the caller's connection after it if this box is stopping.
 fn finish(
     gateway: &Gateway,
     route: &Name,
     arrived_ms: u64,
-    answer: Result<Response<ResponseBody>, Reason>,
+    response: Result<Response<ResponseBody>, Reason>,
     close: bool,
 ) -> Response<ResponseBody> {
-    let outcome = match &answer {
-        Ok(answer) if answer.status().is_success() => "ok",
+    let outcome = match &response {
+        Ok(response) if response.status().is_success() => "ok",
         Ok(_) => "upstream_failure",
         Err(reason) => reason.name(),
     };
@@ -68,35 +68,35 @@
     let took_ms = gateway.clock.now_ms().saturating_sub(arrived_ms);
     let latency = metrics.head_latency.with_label_values(&[route]);
     latency.observe(took_ms as f64 / 1_000.0);
-    match answer {
-        Ok(mut answer) => {
+    match response {
+        Ok(mut response) => {
             if close {
                 let close = header::HeaderValue::from_static("close");
-                answer.headers_mut().insert(header::CONNECTION, close);
+                response.headers_mut().insert(header::CONNECTION, close);
             }
-            answer
+            response
         }
         Err(reason) => reason.into_answer(close),
     }
 }
 
-/// A smaller model's answer that is kept until the larger one's has begun.
-struct Kept {
+/// Response of a smaller model, held until the response of the larger one has begun.
+struct FallbackReply {
     reply: Reply,
     model: usize,
 }
 
-/// What becomes of a reply.
-enum Use {
-    /// It is the answer.
-    Answer,
-    /// The job runs again in its place.
-    Again,
-    /// A larger model is asked, by its place from the smallest.
-    Larger(usize),
+/// What to do with a reply.
+enum ReplyAction {
+    /// Relay it to the caller.
+    Relay,
+    /// Discard it and send the job to another upstream.
+    Retry,
+    /// Ask the larger model with this index, from the smallest.
+    Escalate(usize),
 }
 
-/// Sends an admitted request until there is an answer to pass on.
+/// Sends an admitted request to upstreams until there is a response to relay.
 async fn serve(
     gateway: &Arc<Gateway>,
     job: Arc<Job>,
@@ -104,62 +104,62 @@
     active: Active,
 ) -> Result<Response<ResponseBody>, Reason> {
     gateway.count_request(&job.pool);
-    let mut tries = Tries::default();
-    let mut kept = None;
-    let mut has_begun = false;
+    let mut state = RetryState::default();
+    let mut fallback = None;
+    let mut has_response = false;
     loop {
-        let reply = match next_reply(gateway, &job, &mut tries, &mut trace).await {
+        let reply = match next_reply(gateway, &job, &mut state, &mut trace).await {
             Ok(reply) => *reply,
-            Err(reason) => match kept.take() {
+            Err(reason) => match fallback.take() {
                 Some(smaller) => {
-                    return Ok(relay_kept(gateway, job, smaller, &tries, trace, active));
+                    return Ok(relay_fallback(gateway, job, smaller, &state, trace, active));
                 }
                 None => {
                     trace.fail(
                         "refused",
-                        json!({"reason": reason.name(), "sends": tries.sent}),
+                        json!({"reason": reason.name(), "sends": state.sent}),
                     );
                     return Err(reason);
                 }
             },
         };
-        if !std::mem::replace(&mut has_begun, true)
+        if !std::mem::replace(&mut has_response, true)
             && let Some(workspace) = &job.workspace
         {
             gateway.count_begun(&workspace.name);
         }
-        record_head(gateway, &job, &reply, tries.model);
-        match use_of(gateway, &job, &mut tries, &reply, &mut trace) {
-            Use::Answer => {}
-            Use::Again => continue,
-            Use::Larger(larger) => {
-                let model = std::mem::replace(&mut tries.model, larger);
-                kept = Some(Kept { reply, model });
+        record_head(gateway, &job, &reply, state.model);
+        match reply_action(gateway, &job, &mut state, &reply, &mut trace) {
+            ReplyAction::Relay => {}
+            ReplyAction::Retry => continue,
+            ReplyAction::Escalate(larger) => {
+                let model = std::mem::replace(&mut state.model, larger);
+                fallback = Some(FallbackReply { reply, model });
                 continue;
             }
         }
         let is_success = reply.response.status().is_success();
-        if !is_success && let Some(smaller) = kept.take() {
-            return Ok(relay_kept(gateway, job, smaller, &tries, trace, active));
+        if !is_success && let Some(smaller) = fallback.take() {
+            return Ok(relay_fallback(gateway, job, smaller, &state, trace, active));
         }
         if job.route.kind.is_stream() && is_success {
             return Ok(relay(
                 gateway,
                 job,
                 reply,
-                tries.model,
-                &tries,
+                state.model,
+                &state,
                 trace,
                 active,
             ));
         }
         match gather(gateway, &job, reply, &mut trace).await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(upstream) => {
-                tries.may_have_run = true;
+                state.may_have_run = true;
                 gateway.until_looked(&upstream).await;
-                tries.tried.push(upstream);
-                if !may_repeat(gateway, &job, &tries) {
+                state.tried.push(upstream);
+                if !take_retry(gateway, &job, &state) {
                     trace.fail("refused", json!({"reason": Reason::AnswerLost.name()}));
                     return Err(Reason::AnswerLost);
                 }
@@ -168,13 +168,13 @@
     }
 }
 
-/// Passes a stream on.
+/// Relays a stream.
 fn relay(
     gateway: &Arc<Gateway>,
     job: Arc<Job>,
     reply: Reply,
     model: usize,
-    tries: &Tries,
+    state: &RetryState,
     mut trace: Trace,
     active: Active,
 ) -> Response<ResponseBody> {
@@ -184,62 +184,71 @@
         "leaving": reply.marks.statement.is_leaving, "limit_per_s": reply.marks.statement.limit.map(DeclaredLimit::requests_per_s),
     });
     trace.step("relaying", detail);
-    stream::start(gateway, job, reply, model, tries, trace, active)
+    stream::start(gateway, job, reply, model, state, trace, active)
 }
 
-/// Passes the smaller model's answer on after all: the larger one gave none.
-fn relay_kept(
+/// Relays the response of the smaller model, because the larger one failed.
+fn relay_fallback(
     gateway: &Arc<Gateway>,
     job: Arc<Job>,
-    smaller: Kept,
-    tries: &Tries,
+    smaller: FallbackReply,
+    state: &RetryState,
     mut trace: Trace,
     active: Active,
 ) -> Response<ResponseBody> {
-    trace.step("larger_model_failed", json!({"from": tries.model}));
-    let Kept { reply, model } = smaller;
-    relay(gateway, job, reply, model, tries, trace, active)
+    trace.step("larger_model_failed", json!({"from": state.model}));
+    let FallbackReply { reply, model } = smaller;
+    relay(gateway, job, reply, model, state, trace, active)
 }
 
-/// Whether a reply is used, or what is asked in its place; makes ready for that.
-fn use_of(
+/// Decides what to do with a reply, and updates `state` for the next attempt.
+fn reply_action(
     gateway: &Gateway,
     job: &Job,
-    tries: &mut Tries,
+    state: &mut RetryState,
     reply: &Reply,
     trace: &mut Trace,
-) -> Use {
+) -> ReplyAction {
     let status = reply.response.status();
-    if status.is_server_error() && may_repeat(gateway, job, tries) {
+    if status.is_server_error() && take_retry(gateway, job, state) {
         trace.step("sent_again", json!({"after_status": status.as_u16()}));
-        tries.tried.push(reply.in_flight.upstream.id.clone());
-        tries.may_have_run = true;
-        return Use::Again;
+        state.tried.push(reply.in_flight.upstream.id.clone());
+        state.may_have_run = true;
+        return ReplyAction::Retry;
     }
-    let Some(larger) = larger_model(gateway, job, tries, reply) else {
-        return Use::Answer;
+    let Some(larger) = escalation_target(gateway, job, state, reply) else {
+        return ReplyAction::Relay;
     };
-    let detail = json!({"confidence": reply.marks.confidence, "from": tries.model, "to": larger});
+    let detail = json!({"confidence": reply.marks.confidence, "from": state.model, "to": larger});
     trace.step("larger_model", detail);
-    tries.may_have_run = true;
-    Use::Larger(larger)
+    state.may_have_run = true;
+    ReplyAction::Escalate(larger)
 }
 
-/// The larger model to ask, where the answer's confidence is low and a repeat is left.
-fn larger_model(gateway: &Gateway, job: &Job, tries: &Tries, reply: &Reply) -> Option<usize> {
+/// Returns the larger model to escalate to, if the confidence of the reply is low and a retry can be taken from the
+/// budget.
+fn escalation_target(
+    gateway: &Gateway,
+    job: &Job,
+    state: &RetryState,
+    reply: &Reply,
+) -> Option<usize> {
     if !job.chooses_model() || !reply.response.status().is_success() {
         return None;
     }
     let models = job.route.models.len();
-    let read_ms = gateway.estimate(job, models.saturating_sub(1)).prefill_ms;
-    let late_at_ms = job.arrived_ms + job.route.latency_aim_ms;
+    let prefill_ms = gateway.estimate(job, models.saturating_sub(1)).prefill_ms;
+    let target_ms = job.arrived_ms + job.route.latency_aim_ms;
     let larger = cascade::escalate(&EscalationInput {
         confidence: reply.marks.confidence,
         floor: gateway.settings.policy.confidence_floor,
-        model: tries.model,
+        model: state.model,
         models,
-        wait_ms: choose(gateway, job, &[], tries.model).ok()?.mean_work_ms + read_ms,
-        remaining_ms: late_at_ms.saturating_sub(gateway.clock.now_ms()) as f64,
+        wait_ms: choose_upstream(gateway, job, &[], state.model)
+            .ok()?
+            .mean_work_ms
+            + prefill_ms,
+        remaining_ms: target_ms.saturating_sub(gateway.clock.now_ms()) as f64,
     })?;
-    may_repeat(gateway, job, tries).then_some(larger)
+    take_retry(gateway, job, state).then_some(larger)
 }
--- /dev/null
+++ b/crates/ivyweir-gateway/src/retry.rs
@@ -0,0 +1,252 @@
+//! Retry loop: sends a job to upstreams one after another until one responds.
+
+use std::sync::Arc;
+
+use ivyweir_policy::Name;
+use ivyweir_policy::gateway::upstreams::{Choice, ChooseError, Scope};
+use ivyweir_policy::gateway::wait::spread_retry_after_ms;
+use serde_json::json;
+
+use crate::attempt::{self, AttemptOptions, AttemptOutcome, Reply};
+use crate::job::Job;
+use crate::log::Trace;
+use crate::refusal::Reason;
+use crate::state::{Gateway, Suspicion, Waiter};
+
+/// Number of unreachable upstreams after which a request is refused, unless it can still meet its latency target and
+/// there are upstreams left to try.
+const UNREACHABLE_SOFT_LIMIT: u32 = 4;
+/// Number of unreachable upstreams after which a request is refused in any case. If half of a pool is gone, one
+/// request in 16 meets four of these in a row, and one in 65,000 meets sixteen.
+const UNREACHABLE_HARD_LIMIT: u32 = 16;
+/// Time limit for the head of the response to a repeatable request while another attempt is left, as a multiple of
+/// the latency target.
+const HEAD_TIMEOUT_FACTOR: u64 = 4;
+
+/// Attempts of one request so far.
+#[derive(Debug, Default)]
+pub struct RetryState {
+    /// Upstreams that were tried, in order; others are preferred.
+    pub tried: Vec<Name>,
+    /// Number of attempts that reached an upstream.
+    pub sent: u32,
+    /// Number of attempts in which no byte of the request was sent.
+    unreachable: u32,
+    /// Whether an upstream may have run the request.
+    pub may_have_run: bool,
+    /// Index of the model, from the smallest.
+    pub model: usize,
+}
+
+/// Sends a job to upstreams until one responds.
+pub async fn next_reply(
+    gateway: &Arc<Gateway>,
+    job: &Job,
+    state: &mut RetryState,
+    trace: &mut Trace,
+) -> Result<Box<Reply>, Reason> {
+    let mut waiter: Option<Waiter> = None;
+    loop {
+        let now_ms = gateway.clock.now_ms();
+        if now_ms >= job.deadline_ms {
+            return Err(failure_reason(state, Reason::LateNotRun, Reason::Late));
+        }
+        if gateway.is_quarantined(job.fingerprint) {
+            return Err(failure_reason(
+                state,
+                Reason::Quarantined,
+                Reason::AnswerLost,
+            ));
+        }
+        let choice = match choose_upstream(gateway, job, &state.tried, state.model) {
+            Ok(choice) => choice,
+            Err(ChooseError::AllBackingOff { for_ms })
+                if should_wait(gateway, job, state, for_ms, &waiter) =>
+            {
+                trace.step("waits", json!({"backing_off_for_ms": for_ms}));
+                let waiter = waiter.get_or_insert_with(|| gateway.join_queue(job));
+                waiter.wait(for_ms).await;
+                continue;
+            }
+            Err(why) => {
+                return Err(failure_reason(
+                    state,
+                    refusal_reason(job, why),
+                    Reason::AnswerLost,
+                ));
+            }
+        };
+        waiter = None;
+        trace.step(
+            "chosen",
+            json!({
+                "upstream": choice.upstream.id, "version": choice.upstream.version,
+                "hall": choice.upstream.hall, "mean_work_ms": choice.mean_work_ms,
+                "candidates": choice.candidates, "model": state.model,
+                "load_ms": choice.load_ms, "read_ms": choice.prefill_ms, "kept_part_ms": choice.saved_ms,
+                "pace_answers": gateway.with_pace(&job.pool, |pace| pace.sample_count(state.model)),
+            }),
+        );
+        let options = AttemptOptions {
+            model: state.model,
+            resume_after: None,
+            head_timeout_ms: head_timeout_ms(job, state, now_ms),
+        };
+        match attempt::send(gateway, job, &choice.upstream, options, trace).await {
+            AttemptOutcome::Answered(reply) => {
+                state.sent += 1;
+                return Ok(reply);
+            }
+            AttemptOutcome::NotRun { arrived } => {
+                state.tried.push(choice.upstream.id.clone());
+                record_not_run(gateway, job, state, arrived)?;
+            }
+            AttemptOutcome::Lost => {
+                state.tried.push(choice.upstream.id.clone());
+                // Waits for the liveness probe also before the request fails: its caller may retry at once, and the end
+                // of an upstream affects where the retry is sent.
+                gateway.until_looked(&choice.upstream.id).await;
+                record_lost(gateway, job, state)?;
+            }
+        }
+    }
+}
+
+/// Returns whether a job waits for upstreams that accept no requests for `for_ms`. A job that may have run does not
+/// wait, so that its outcome is reported at once.
+fn should_wait(
+    gateway: &Gateway,
+    job: &Job,
+    state: &RetryState,
+    for_ms: u64,
+    waiter: &Option<Waiter>,
+) -> bool {
+    let prefill_ms = gateway.estimate(job, state.model).prefill_ms;
+    let ahead = waiter.as_ref().map(Waiter::ahead);
+    !state.may_have_run && gateway.is_worth_waiting(job, for_ms, prefill_ms, ahead)
+}
+
+/// Records that an upstream did not run the job. Fails if no other upstream is to be tried.
+fn record_not_run(
+    gateway: &Gateway,
+    job: &Job,
+    state: &mut RetryState,
+    arrived: bool,
+) -> Result<(), Reason> {
+    let tries_another = if arrived {
+        state.sent += 1;
+        take_attempt(gateway, job, state.sent)
+    } else {
+        state.unreachable += 1;
+        may_try_another(gateway, job, state) && (!job.is_authenticated || gateway.may_serve_keys())
+    };
+    if tries_another {
+        return Ok(());
+    }
+    let why = match choose_upstream(gateway, job, &[], state.model) {
+        Err(why @ ChooseError::AllBackingOff { .. }) => refusal_reason(job, why),
+        _ => Reason::NoUpstream,
+    };
+    Err(failure_reason(state, why, Reason::AnswerLost))
+}
+
+/// Returns whether another upstream is tried after unreachable ones. Nothing was sent to them, so this costs only
+/// time; but once the last choice is a repeated one, all upstreams have been tried.
+fn may_try_another(gateway: &Gateway, job: &Job, state: &RetryState) -> bool {
+    if state.unreachable < UNREACHABLE_SOFT_LIMIT {
+        return true;
+    }
+    let is_in_time = gateway.clock.now_ms() < job.arrived_ms + job.route.latency_aim_ms;
+    let [before @ .., last] = &state.tried[..] else {
+        return true;
+    };
+    is_in_time && state.unreachable < UNREACHABLE_HARD_LIMIT && !before.contains(last)
+}
+
+/// Records that an upstream may have run the job. Fails if the job may not run again.
+fn record_lost(gateway: &Gateway, job: &Job, state: &mut RetryState) -> Result<(), Reason> {
+    state.sent += 1;
+    state.may_have_run = true;
+    if take_retry(gateway, job, state) {
+        return Ok(());
+    }
+    if gateway.clock.now_ms() >= job.deadline_ms {
+        Err(Reason::Late)
+    } else {
+        Err(Reason::AnswerLost)
+    }
+}
+
+/// Chooses an upstream for a job: one that was not tried, or else any but the last one tried.
+///
+/// # Errors
+///
+/// Fails if no upstream can take the job now.
+pub fn choose_upstream(
+    gateway: &Gateway,
+    job: &Job,
+    tried: &[Name],
+    model: usize,
+) -> Result<Choice, ChooseError> {
+    let mut request = job.placement_request(model, gateway.estimate(job, model), &gateway.settings);
+    if gateway.suspicion(job.fingerprint) == Suspicion::UpstreamEnded {
+        request.isolation_hash = Some(job.fingerprint.bits());
+    }
+    let choose_untried = |tried: &[Name]| {
+        let scope = Scope {
+            pool: &job.pool,
+            side: job.side,
+            tried,
+        };
+        gateway.choose(&scope, &request)
+    };
+    choose_untried(tried)
+        .or_else(|_| choose_untried(tried.last().map_or(&[], std::slice::from_ref)))
+}
+
+/// Returns the refusal reason of a request that no upstream can take.
+fn refusal_reason(job: &Job, why: ChooseError) -> Reason {
+    match why {
+        ChooseError::NoUpstream => Reason::NoUpstream,
+        ChooseError::HallsDrained => Reason::HallsDrained,
+        ChooseError::AllCold => Reason::AllCold,
+        ChooseError::AllBackingOff { for_ms } => Reason::AllBackingOff {
+            come_back_ms: spread_retry_after_ms(for_ms, job.priority(), job.seed),
+        },
+    }
+}
+
+/// Returns the reason to fail with, depending on whether the request may have run.
+fn failure_reason(state: &RetryState, not_run: Reason, may_have_run: Reason) -> Reason {
+    if state.may_have_run {
+        may_have_run
+    } else {
+        not_run
+    }
+}
+
+/// Takes a retry from the pool's budget, if the job has attempts left after `sent` and its deadline has not passed.
+/// Returns whether it did.
+pub fn take_attempt(gateway: &Gateway, job: &Job, sent: u32) -> bool {
+    sent < job.route.max_attempts
+        && gateway.clock.now_ms() < job.deadline_ms
+        && gateway.take_repeat(&job.pool)
+}
+
+/// Takes a retry from the pool's budget for a request that may have run, if it may run again and has attempts left.
+/// Returns whether it did.
+pub fn take_retry(gateway: &Gateway, job: &Job, state: &RetryState) -> bool {
+    job.route.kind.is_repeatable() && take_attempt(gateway, job, state.sent)
+}
+
+/// Returns the time limit for the head of the response: the time left until the deadline, or less if another attempt
+/// is left for a repeatable request.
+fn head_timeout_ms(job: &Job, state: &RetryState, now_ms: u64) -> u64 {
+    let left_ms = job.deadline_ms.saturating_sub(now_ms);
+    let is_repeatable_unary = !job.route.kind.is_stream() && job.route.kind.is_repeatable();
+    if is_repeatable_unary && state.sent + 1 < job.route.max_attempts {
+        left_ms.min(job.route.latency_aim_ms * HEAD_TIMEOUT_FACTOR)
+    } else {
+        left_ms
+    }
+}
--- a/crates/ivyweir-gateway/src/stream.rs
+++ b/crates/ivyweir-gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on event by event, and goes on at another upstream where it breaks off.
+//! Relays a stream event by event, and resumes it at another upstream if it breaks off.
 
 mod resume;
 
@@ -21,29 +21,30 @@
 use crate::job::{Job, strip_hop_by_hop};
 use crate::log::Trace;
 use crate::response::ResponseBody;
+use crate::retry::RetryState;
 use crate::state::{Active, Gateway, ReplacedWatch};
-use crate::tries::Tries;
 
-/// Pauses between events from which their mean says something.
-const PACE_PAUSES: u32 = 2;
-/// Event at which a stream's pace is judged: a slow stream takes long to end.
-const JUDGED_AT_EVENTS: u32 = 7;
-/// Event at which it is judged once more: over so many, a busy engine's other prompts count little.
-/// On an own day with a slow version all its streams were over the limit by their end, and 12 % of
-/// the old one's.
-const JUDGED_LONG_AT_EVENTS: u32 = 24;
+/// Smallest number of intervals between events from which their mean is used.
+const MIN_PACE_INTERVALS: u32 = 2;
+/// Number of events after which the pace of a stream is first sampled, without waiting for its end, which a slow
+/// stream reaches late.
+const PACE_SAMPLE_EVENTS: u32 = 7;
+/// Number of events after which the pace is sampled again. Over this many events, prefills of other prompts on a busy
+/// engine have little effect: in a separate run with a slow version, all its streams were over the limit by their end, and 12 %
+/// of those of the old version.
+const LONG_PACE_SAMPLE_EVENTS: u32 = 24;
 
-/// How many times the longest pause that is still in time a stream may be silent before another upstream is asked to go
-/// on: its answer is late by then, and a caller gives it up some time later.
-const SILENT_GAPS: u64 = 2;
+/// Time without data after which a stream is resumed at another upstream, as a multiple of the target for the longest
+/// gap between events. The response is late by then, and a caller gives up some time later.
+const STALL_TIMEOUT_GAPS: u64 = 2;
 
-/// Starts to pass a stream on; `tries` are those of the request so far.
+/// Starts to relay a stream; `attempts` are those of the request so far.
 pub fn start(
     gateway: &Arc<Gateway>,
     job: Arc<Job>,
     reply: Reply,
     model: usize,
-    tries: &Tries,
+    attempts: &RetryState,
     trace: Trace,
     active: Active,
 ) -> Response<ResponseBody> {
@@ -69,8 +70,8 @@
             keep_alive_ms,
             is_framed,
             running: marks.running(),
-            heard_ms: gateway.clock.now_ms(),
-            may_be_silent: false,
+            last_read_ms: gateway.clock.now_ms(),
+            ignores_stalls: false,
         },
         partial: BytesMut::new(),
         last_event_id,
@@ -79,8 +80,8 @@
         last_event_ms: 0,
         longest_pause_ms: 0,
         model,
-        sent: tries.sent,
-        tried: tries.tried.clone(),
+        sent: attempts.sent,
+        tried: attempts.tried.clone(),
         trace,
         ended: false,
         _active: active,
@@ -92,29 +93,29 @@
     Response::from_parts(head, StreamBody::new(Box::pin(frames)).boxed_unsync())
 }
 
-/// Where the stream comes from for now.
+/// The upstream response that the stream is currently read from.
 struct Source {
     body: Incoming,
     in_flight: InFlightRequest,
-    /// Whether another incarnation takes its place.
+    /// Resolves when another incarnation replaces the upstream.
     replaced: ReplacedWatch,
     keep_alive_ms: Option<u64>,
-    /// Whether its end is told by more than the end of the connection.
+    /// Whether the end of the body is known other than by the end of the connection.
     is_framed: bool,
-    /// Requests that it ran when its answer began.
+    /// Number of requests that the upstream ran when its response began.
     running: u32,
-    /// When it last sent anything.
-    heard_ms: u64,
-    /// Whether its silence is borne: no other upstream took the stream over.
-    may_be_silent: bool,
+    /// Time at which data was last received.
+    last_read_ms: u64,
+    /// Whether stalls are ignored, because no other upstream took over the stream.
+    ignores_stalls: bool,
 }
 
-/// A stream on its way to the caller.
+/// A stream that is being relayed to the caller.
 struct Stream {
     gateway: Arc<Gateway>,
     job: Arc<Job>,
     source: Source,
-    /// Bytes behind the last whole event.
+    /// Bytes after the last complete event.
     partial: BytesMut,
     last_event_id: Option<u64>,
     events: u32,
@@ -129,82 +130,82 @@
     _active: Active,
 }
 
-/// What the upstream sent next.
-enum Next {
+/// Result of a read from the upstream.
+enum ReadResult {
     Events(Bytes),
     Partial,
     End,
     Broke(String),
-    Silent,
-    Late,
+    Stalled,
+    DeadlineExceeded,
 }
 
 impl Stream {
-    /// The next bytes for the caller; none at the end, an error where the answer breaks off.
+    /// Returns the next bytes for the caller: `None` at the end, an error if the stream is aborted.
     async fn next(&mut self) -> Option<Result<Frame<Bytes>, io::Error>> {
         if self.ended {
             return None;
         }
         loop {
             match self.read().await {
-                Next::Events(events) => return Some(Ok(Frame::data(events))),
-                Next::Partial => {}
-                Next::End => {
+                ReadResult::Events(events) => return Some(Ok(Frame::data(events))),
+                ReadResult::Partial => {}
+                ReadResult::End => {
                     self.finish();
                     if self.partial.is_empty() {
                         return None;
                     }
                     return Some(Ok(Frame::data(self.partial.split().freeze())));
                 }
-                Next::Broke(error) => {
-                    self.broke(&error);
+                ReadResult::Broke(error) => {
+                    self.record_broken_source(&error);
                     let upstream = self.source.in_flight.upstream.id.clone();
                     self.gateway.until_looked(&upstream).await;
-                    if !self.resume(self.patient_until_ms()).await {
-                        return Some(Err(self.break_off("stream broke off")));
+                    if !self.resume(self.resume_until_ms()).await {
+                        return Some(Err(self.abort("upstream connection broke")));
                     }
                 }
-                Next::Silent => {
-                    self.fell_silent();
-                    // The source may go on by itself meanwhile, so nothing is waited for.
-                    self.source.may_be_silent = !self.resume(0).await;
+                ReadResult::Stalled => {
+                    self.record_stall();
+                    // Does not wait for a free upstream, as the source may continue by itself in the meantime.
+                    self.source.ignores_stalls = !self.resume(0).await;
                 }
-                Next::Late => return Some(Err(self.break_off("time is up"))),
+                ReadResult::DeadlineExceeded => return Some(Err(self.abort("deadline exceeded"))),
             }
         }
     }
 
-    /// Waits for what the upstream sends next.
-    async fn read(&mut self) -> Next {
+    /// Reads from the upstream until data, its end, an error, a stall or the deadline.
+    async fn read(&mut self) -> ReadResult {
         let deadline_ms = self.job.deadline_ms;
-        let until_ms = self.silent_at_ms().unwrap_or(deadline_ms).min(deadline_ms);
+        let until_ms = self.stall_at_ms().unwrap_or(deadline_ms).min(deadline_ms);
         let until = self.gateway.clock.instant(until_ms);
         let source = &mut self.source;
         let read = tokio::select! {
             biased;
             read = timeout_at(until, source.body.frame()) => read,
             () = source.replaced.replaced(&self.gateway) => {
-                return Next::Broke("another incarnation took the upstream's place".into());
+                return ReadResult::Broke("upstream was replaced by another incarnation".into());
             }
         };
         if read.is_ok() {
-            self.source.heard_ms = self.gateway.clock.now_ms();
+            self.source.last_read_ms = self.gateway.clock.now_ms();
         }
         match read {
-            Err(_) if until_ms < deadline_ms => Next::Silent,
-            Err(_) => Next::Late,
-            Ok(None) => Next::End,
-            Ok(Some(Err(e))) => Next::Broke(e.to_string()),
+            Err(_) if until_ms < deadline_ms => ReadResult::Stalled,
+            Err(_) => ReadResult::DeadlineExceeded,
+            Ok(None) => ReadResult::End,
+            Ok(Some(Err(e))) => ReadResult::Broke(e.to_string()),
             Ok(Some(Ok(frame))) => match frame.into_data() {
-                Ok(data) => self.take_events(data),
-                // Trailers are not passed on.
-                Err(_) => Next::Partial,
+                Ok(data) => self.split_events(data),
+                // Trailers are not relayed.
+                Err(_) => ReadResult::Partial,
             },
         }
     }
 
-    /// When the source's silence is too long, where another upstream may go on in its place.
-    fn silent_at_ms(&self) -> Option<u64> {
+    /// Returns the time at which the source counts as stalled; `None` if the stream may not be resumed elsewhere.
+    fn stall_at_ms(&self) -> Option<u64> {
         let RouteKind::Stream {
             resumable: true,
             gap_aim_ms,
@@ -212,27 +213,27 @@
         else {
             return None;
         };
-        let has_another = !self.source.may_be_silent && self.sent < self.job.route.max_attempts;
-        has_another.then_some(self.source.heard_ms + SILENT_GAPS * gap_aim_ms)
+        let has_another = !self.source.ignores_stalls && self.sent < self.job.route.max_attempts;
+        has_another.then_some(self.source.last_read_ms + STALL_TIMEOUT_GAPS * gap_aim_ms)
     }
 
-    /// Until when its caller waits for the next event rather than give the stream up.
-    fn patient_until_ms(&self) -> u64 {
+    /// Returns the time until which the caller is expected to wait for the next event.
+    fn resume_until_ms(&self) -> u64 {
         let RouteKind::Stream { gap_aim_ms, .. } = self.job.route.kind else {
             return 0;
         };
-        let patient_until_ms = self.source.heard_ms + SILENT_GAPS * gap_aim_ms;
-        patient_until_ms.min(self.job.deadline_ms)
+        let resume_until_ms = self.source.last_read_ms + STALL_TIMEOUT_GAPS * gap_aim_ms;
+        resume_until_ms.min(self.job.deadline_ms)
     }
 
-    /// Cuts whole events off what arrived.
-    fn take_events(&mut self, data: Bytes) -> Next {
-        let whole = if self.partial.is_empty() && data.ends_with(b"\n\n") {
+    /// Splits the complete events off the received data.
+    fn split_events(&mut self, data: Bytes) -> ReadResult {
+        let complete = if self.partial.is_empty() && data.ends_with(b"\n\n") {
             data
         } else {
             self.partial.extend_from_slice(&data);
             let Some(end) = last_event_end(&self.partial) else {
-                return Next::Partial;
+                return ReadResult::Partial;
             };
             self.partial.split_to(end).freeze()
         };
@@ -240,23 +241,23 @@
         if self.events == 0 {
             self.first_event_ms = now_ms;
         } else {
-            let pause_ms = now_ms.saturating_sub(self.last_event_ms);
-            self.longest_pause_ms = self.longest_pause_ms.max(pause_ms);
+            let interval_ms = now_ms.saturating_sub(self.last_event_ms);
+            self.longest_pause_ms = self.longest_pause_ms.max(interval_ms);
         }
         self.last_event_ms = now_ms;
-        for id in event_ids(&whole) {
+        for id in event_ids(&complete) {
             self.events += 1;
             self.last_event_id = Some(id);
             match self.events {
-                JUDGED_AT_EVENTS => self.record_sample(false, self.pace_ms(), Span::Start),
-                JUDGED_LONG_AT_EVENTS => self.record_sample(false, self.pace_ms(), Span::Long),
+                PACE_SAMPLE_EVENTS => self.record_sample(false, self.pace_ms(), Span::Start),
+                LONG_PACE_SAMPLE_EVENTS => self.record_sample(false, self.pace_ms(), Span::Long),
                 _ => {}
             }
         }
-        Next::Events(whole)
+        ReadResult::Events(complete)
     }
 
-    /// Takes in that the stream ended as it should.
+    /// Records that the stream ended normally.
     fn finish(&mut self) {
         self.ended = true;
         self.source.in_flight.complete(self.source.is_framed);
@@ -265,9 +266,9 @@
             .release_connection(self.source.keep_alive_ms);
         let upstream = self.source.in_flight.upstream.clone();
         let pace_ms = self.pace_ms();
-        // The pace of a longer stream was judged on its way.
-        let is_timed = self.events < JUDGED_AT_EVENTS;
-        self.record_sample(true, pace_ms.filter(|_| is_timed), Span::Start);
+        // The pace of a longer stream was sampled before.
+        let is_unsampled = self.events < PACE_SAMPLE_EVENTS;
+        self.record_sample(true, pace_ms.filter(|_| is_unsampled), Span::Start);
         let detail = json!({
             "upstream": upstream.id, "events": self.events, "pace_ms": pace_ms,
             "longest_pause_ms": self.longest_pause_ms,
@@ -276,17 +277,17 @@
         self.trace.step("stream_ended", detail);
     }
 
-    /// Mean pause between events so far, where there were enough.
+    /// Returns the mean interval between events so far, if there were enough of them.
     fn pace_ms(&self) -> Option<f64> {
         let span_ms = self.last_event_ms.saturating_sub(self.first_event_ms);
-        let pauses = self.events.saturating_sub(1);
-        (pauses >= PACE_PAUSES).then(|| span_ms as f64 / f64::from(pauses))
+        let intervals = self.events.saturating_sub(1);
+        (intervals >= MIN_PACE_INTERVALS).then(|| span_ms as f64 / f64::from(intervals))
     }
 
-    /// Adds what was seen of the stream to what is known of its version.
+    /// Records a sample of the stream for the version of its upstream.
     fn record_sample(&self, is_final: bool, pace_ms: Option<f64>, span: Span) {
         let upstream = &self.source.in_flight.upstream;
-        let evidence = AnswerSample {
+        let sample = AnswerSample {
             upstream: &upstream.id,
             failed: false,
             is_final,
@@ -301,11 +302,11 @@
                 .now_ms()
                 .saturating_sub(self.job.arrived_ms),
         };
-        record_sample(&self.gateway, &self.job, upstream, &evidence);
+        record_sample(&self.gateway, &self.job, upstream, &sample);
     }
 
-    /// Gives the stream up; the caller sees it break off.
-    fn break_off(&mut self, why: &'static str) -> io::Error {
+    /// Aborts the stream. The returned error makes the caller's connection break off.
+    fn abort(&mut self, why: &'static str) -> io::Error {
         self.ended = true;
         let detail = json!({"reason": why, "behind_event": self.last_event_id});
         self.trace.fail("stream_broken_off", detail);
@@ -313,13 +314,13 @@
     }
 }
 
-/// Where the last whole event ends: behind an empty line.
+/// Returns the end of the last complete event, after an empty line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let at = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
     Some(at + 2)
 }
 
-/// Ids of events, in order.
+/// Returns the ids of events, in order.
 fn event_ids(events: &[u8]) -> impl Iterator<Item = u64> {
     events.split(|byte| *byte == b'\n').filter_map(|line| {
         let id = line.strip_prefix(b"id:")?;
--- a/crates/ivyweir-gateway/src/stream/resume.rs
+++ b/crates/ivyweir-gateway/src/stream/resume.rs
@@ -1,4 +1,4 @@
-//! Going on with a stream at another upstream.
+//! Resuming a stream at another upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use super::{Source, Stream};
 use crate::attempt::{self, AttemptOptions, AttemptOutcome, Reply};
 use crate::canary::record_head;
-use crate::tries::{choose, has_attempt};
+use crate::retry::{choose_upstream, take_attempt};
 
 impl Stream {
-    /// Takes in that the source broke off.
-    pub(super) fn broke(&mut self, error: &str) {
+    /// Records that the connection to the source broke.
+    pub(super) fn record_broken_source(&mut self, error: &str) {
         let upstream = self.source.in_flight.upstream.id.clone();
         let detail = json!({
             "upstream": upstream, "error": error, "behind_event": self.last_event_id,
@@ -25,10 +25,10 @@
         self.tried.push(upstream);
     }
 
-    /// Takes in that the source sends nothing, though its connection stands.
-    pub(super) fn fell_silent(&mut self) {
+    /// Records that the source sends no data although its connection is open.
+    pub(super) fn record_stall(&mut self) {
         let upstream = self.source.in_flight.upstream.id.clone();
-        let silent_ms = self.gateway.clock.now_ms() - self.source.heard_ms;
+        let silent_ms = self.gateway.clock.now_ms() - self.source.last_read_ms;
         let detail = json!({
             "upstream": upstream, "silent_ms": silent_ms, "behind_event": self.last_event_id,
         });
@@ -37,21 +37,21 @@
         self.tried.push(upstream);
     }
 
-    /// Goes on at another upstream; returns whether one answers. Where all want nothing for now, it waits for one until
-    /// `patient_until_ms`: the caller has all that came before, and would have to ask for it again.
-    pub(super) async fn resume(&mut self, patient_until_ms: u64) -> bool {
+    /// Resumes the stream at another upstream; returns whether one responds. If all are backing off, waits for one until
+    /// `resume_until_ms`, since the caller already has the previous events and would have to request them again.
+    pub(super) async fn resume(&mut self, resume_until_ms: u64) -> bool {
         if !self.job.route.kind.is_repeatable() {
             return false;
         }
         while !self.gateway.is_quarantined(self.job.fingerprint)
             && self.sent < self.job.route.max_attempts
         {
-            let choice = match choose(&self.gateway, &self.job, &self.tried, self.model) {
+            let choice = match choose_upstream(&self.gateway, &self.job, &self.tried, self.model) {
                 Ok(choice) => choice,
                 Err(ChooseError::AllBackingOff { for_ms })
                     if self
                         .gateway
-                        .takes_one_by(&self.job, for_ms, patient_until_ms) =>
+                        .takes_one_by(&self.job, for_ms, resume_until_ms) =>
                 {
                     self.trace
                         .step("waits", json!({"backing_off_for_ms": for_ms}));
@@ -60,18 +60,18 @@
                 }
                 Err(_) => return false,
             };
-            if !has_attempt(&self.gateway, &self.job, self.sent) {
+            if !take_attempt(&self.gateway, &self.job, self.sent) {
                 return false;
             }
-            let sent = self.send_to(&choice.upstream).await;
-            if !matches!(sent, AttemptOutcome::NotRun { arrived: false }) {
+            let outcome = self.request_rest(&choice.upstream).await;
+            if !matches!(outcome, AttemptOutcome::NotRun { arrived: false }) {
                 self.sent += 1;
             }
             self.tried.push(choice.upstream.id.clone());
-            if let AttemptOutcome::Answered(reply) = sent {
+            if let AttemptOutcome::Answered(reply) = outcome {
                 record_head(&self.gateway, &self.job, &reply, self.model);
                 if reply.response.status().is_success() {
-                    self.go_on_at(*reply);
+                    self.switch_source(*reply);
                     return true;
                 }
             }
@@ -79,8 +79,8 @@
         false
     }
 
-    /// Asks an upstream for the events behind the last one.
-    async fn send_to(&mut self, upstream: &Arc<UpstreamRecord>) -> AttemptOutcome {
+    /// Requests the events after the last one from an upstream.
+    async fn request_rest(&mut self, upstream: &Arc<UpstreamRecord>) -> AttemptOutcome {
         let now_ms = self.gateway.clock.now_ms();
         let options = AttemptOptions {
             model: self.model,
@@ -91,8 +91,8 @@
         attempt::send(&self.gateway, &self.job, upstream, options, trace).await
     }
 
-    /// Takes an upstream's answer as the source from now on.
-    fn go_on_at(&mut self, reply: Reply) {
+    /// Makes an upstream's reply the source of the stream.
+    fn switch_source(&mut self, reply: Reply) {
         let upstream = &reply.in_flight.upstream.id;
         let detail = json!({
             "upstream": upstream, "behind_event": self.last_event_id,
@@ -107,8 +107,8 @@
             in_flight: reply.in_flight,
             keep_alive_ms: reply.keep_alive_ms,
             is_framed: reply.is_framed,
-            heard_ms: self.gateway.clock.now_ms(),
-            may_be_silent: false,
+            last_read_ms: self.gateway.clock.now_ms(),
+            ignores_stalls: false,
         };
     }
 }
