--- a/crates/ivyweir-gateway/src/stream.rs
+++ b/crates/ivyweir-gateway/src/stream.rs
@@ -30,8 +30,8 @@
 /// stream reaches late.
 const PACE_SAMPLE_EVENTS: u32 = 7;
 /// Number of events after which the pace is sampled again. Over this many events, prefills of other prompts on a busy
-/// engine have little effect: in a separate run with a slow version, all its streams were over the limit by their end, and 12 %
-/// of those of the old version.
+/// engine have little effect: in a separate run with a slow version, all its streams were over the limit by their end,
+/// and 12 % of those of the old version.
 const LONG_PACE_SAMPLE_EVENTS: u32 = 24;
 
 /// Time without data after which a stream is resumed at another upstream, as a multiple of the target for the longest
--- a/crates/ivyweir-gateway/src/stream/resume.rs
+++ b/crates/ivyweir-gateway/src/stream/resume.rs
@@ -37,8 +37,8 @@
         self.tried.push(upstream);
     }
 
-    /// Resumes the stream at another upstream; returns whether one responds. If all are backing off, waits for one until
-    /// `resume_until_ms`, since the caller already has the previous events and would have to request them again.
+    /// Resumes the stream at another upstream; returns whether one responds. If all are backing off, waits until
+    /// `resume_until_ms` for one, since the caller already has the previous events and would have to request them again.
     pub(super) async fn resume(&mut self, resume_until_ms: u64) -> bool {
         if !self.job.route.kind.is_repeatable() {
             return false;
