--- a/crates/ivyweir-gateway/src/buffer.rs
+++ b/crates/ivyweir-gateway/src/buffer.rs
@@ -9,11 +9,11 @@
 use serde_json::json;
 use tokio::time::timeout;
 
-use crate::answer::{AnswerBody, whole};
 use crate::attempt::Reply;
 use crate::job::{Job, strip_hop_by_hop};
 use crate::log::Trace;
 use crate::refusal::Reason;
+use crate::response::{ResponseBody, full_body};
 use crate::state::Gateway;
 
 /// Largest response body that is buffered.
@@ -29,11 +29,11 @@
     job: &Job,
     reply: Reply,
     trace: &mut Trace,
-) -> Result<Response<AnswerBody>, Name> {
+) -> Result<Response<ResponseBody>, Name> {
     let Reply {
         response,
-        mut lease,
-        keep_ms,
+        mut in_flight,
+        keep_alive_ms,
         is_framed,
         marks,
         ..
@@ -41,13 +41,13 @@
     let (mut head, body) = response.into_parts();
     let left_ms = job.deadline_ms.saturating_sub(gateway.clock.now_ms());
     let limit = Duration::from_millis(left_ms);
-    let upstream = lease.upstream.id.clone();
+    let upstream = in_flight.upstream.id.clone();
     let mut replaced = gateway.watch_replacement(&upstream);
     let body = tokio::select! {
         biased;
         body = timeout(limit, Limited::new(body, MAX_BUFFERED_BYTES).collect()) => body,
         () = replaced.replaced(gateway) => {
-            lease.broke();
+            in_flight.record_broken_connection();
             trace.fail("upstream_replaced", json!({"upstream": upstream}));
             return Err(upstream);
         }
@@ -55,7 +55,7 @@
     let bytes = match body {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(e)) => {
-            lease.broke();
+            in_flight.record_broken_connection();
             trace.fail(
                 "answer_broke_off",
                 json!({"upstream": upstream, "error": e.to_string()}),
@@ -67,8 +67,8 @@
             return Err(upstream);
         }
     };
-    lease.complete(is_framed && head.status.is_success());
-    lease.keep_channel(keep_ms);
+    in_flight.complete(is_framed && head.status.is_success());
+    in_flight.release_connection(keep_alive_ms);
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     let detail = json!({
@@ -85,7 +85,7 @@
     if is_not_run_status(head.status.as_u16()) {
         return Ok(Reason::AnswerLost.into_answer(false));
     }
-    Ok(Response::from_parts(head, whole(bytes)))
+    Ok(Response::from_parts(head, full_body(bytes)))
 }
 
 fn is_not_run_status(status: u16) -> bool {
--- a/crates/ivyweir-gateway/src/duties.rs
+++ b/crates/ivyweir-gateway/src/duties.rs
@@ -21,7 +21,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::client::{ANSWER_LIMIT, CallError, Client};
+use crate::client::{CallError, Client, RESPONSE_TIMEOUT};
 use crate::settings;
 use crate::state::Gateway;
 use crate::store_client::StoreClient;
@@ -201,7 +201,7 @@
 
     /// Sends a read or write of the record, and processes the state of the record in the answer.
     async fn call_store(&mut self, request: Request<Bytes>) -> Result<(), CallError> {
-        let answer = self.store.call(request, ANSWER_LIMIT).await;
+        let answer = self.store.call(request, RESPONSE_TIMEOUT).await;
         let outcome = if answer.is_ok() { "ok" } else { "failed" };
         let calls = &self.gateway.metrics.store_calls;
         calls.with_label_values(&["duties", outcome]).inc();
--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -11,9 +11,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
 
-use crate::answer::{AnswerBody, bare, message};
 use crate::dialect::{Item, Topic};
 use crate::history::{Backlog, RecordChange, Requester, SourceUnavailable};
+use crate::response::{ResponseBody, peer_message, status_only};
 use crate::state::Gateway;
 
 /// HTTP path for following a topic.
@@ -103,9 +103,9 @@
 }
 
 /// Handles a request of a box that follows a topic here.
-pub async fn handle(gateway: &Arc<Gateway>, query: Option<&str>) -> Response<AnswerBody> {
+pub async fn handle(gateway: &Arc<Gateway>, query: Option<&str>) -> Response<ResponseBody> {
     let Some(request) = query.and_then(FollowRequest::parse) else {
-        return bare(StatusCode::BAD_REQUEST);
+        return status_only(StatusCode::BAD_REQUEST);
     };
     let received_at_ms = gateway.clock.now_ms();
     let histories = &gateway.histories;
@@ -126,14 +126,14 @@
                 if backlog.is_some() || renewed || now_ms >= until_ms {
                     let held_ms = now_ms - received_at_ms;
                     match follow_response(gateway, &request, backlog, held_ms) {
-                        Some(response) => return message(&response),
+                        Some(response) => return peer_message(&response),
                         None => now_ms + COPY_RETRY_MS,
                     }
                 } else {
                     until_ms
                 }
             }
-            Err(SourceUnavailable::NotASource) => return bare(StatusCode::SERVICE_UNAVAILABLE),
+            Err(SourceUnavailable::NotASource) => return status_only(StatusCode::SERVICE_UNAVAILABLE),
             Err(reason @ (SourceUnavailable::Searching | SourceUnavailable::Pending)) => {
                 if !gateway.peers.is_membership_ready() {
                     sourceless_since_ms = None;
@@ -141,7 +141,7 @@
                 let wait_ms = source_wait_ms(&request, reason);
                 let limit_ms = *sourceless_since_ms.get_or_insert(now_ms) + wait_ms;
                 if now_ms >= limit_ms {
-                    return bare(StatusCode::SERVICE_UNAVAILABLE);
+                    return status_only(StatusCode::SERVICE_UNAVAILABLE);
                 }
                 limit_ms
             }
--- a/crates/ivyweir-gateway/src/join.rs
+++ b/crates/ivyweir-gateway/src/join.rs
@@ -14,9 +14,9 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::answer::{self, AnswerBody, bare};
 use crate::box_call;
 use crate::client::Client;
+use crate::response::{self, ResponseBody, status_only};
 use crate::state::Gateway;
 
 /// HTTP path for joining.
@@ -156,10 +156,10 @@
 }
 
 /// Handles a join request.
-pub async fn handle(gateway: &Gateway, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn handle(gateway: &Gateway, request: Request<Incoming>) -> Response<ResponseBody> {
     let message = box_call::read_message::<JoinRequest>(request, MAX_MESSAGE_BYTES);
     let Some(message) = message.await else {
-        return bare(StatusCode::BAD_REQUEST);
+        return status_only(StatusCode::BAD_REQUEST);
     };
     let now_ms = gateway.clock.now_ms();
     let hall = message.from.hall.clone();
@@ -168,7 +168,7 @@
         let update = joined.update_for(&hall, message.cursor, now_ms);
         (update, joined.count(now_ms))
     });
-    answer::message(&JoinResponse {
+    response::peer_message(&JoinResponse {
         update,
         up_ms: now_ms,
         fleet_size,
--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -17,23 +17,22 @@
 //! ```
 
 mod admit;
-mod answer;
 mod apply;
 mod attempt;
 mod box_call;
 mod buffer;
-mod channel;
+mod canary;
 pub mod client;
 pub mod clock;
+mod connection;
 pub mod dialect;
 mod duties;
-mod ends;
 mod follow;
 pub mod headers;
 pub mod history;
 mod job;
 mod join;
-mod judge;
+mod liveness;
 mod log;
 pub mod message;
 mod metrics;
@@ -43,6 +42,8 @@
 mod quarantine_sync;
 mod refusal;
 mod reports;
+mod response;
+mod retry;
 mod rollout_driver;
 mod server;
 mod settings;
@@ -52,7 +53,6 @@
 mod store_events;
 mod stream;
 mod sync;
-mod tries;
 
 use std::io;
 use std::net::SocketAddr;
@@ -195,7 +195,7 @@
         .line("stopping", json!({"requests": gateway.active_requests()}));
     let grace_ms = gateway.settings.bounds.stop_grace_ms();
     let end = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(END_MARGIN_MS));
-    let notice = Duration::from_millis(admit::STOP_NOTICE_MS);
+    let notice = Duration::from_millis(admit::DEREGISTRATION_DELAY_MS);
     sleep_until(end.min(Instant::now() + notice)).await;
     // The receiver lives as long as the server's task.
     let _server_gone = stop.send(true);
--- a/crates/ivyweir-gateway/src/reports.rs
+++ b/crates/ivyweir-gateway/src/reports.rs
@@ -20,9 +20,9 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-use crate::answer::{self, AnswerBody, bare};
 use crate::box_call;
 use crate::client::Client;
+use crate::response::{self, ResponseBody, status_only};
 use crate::state::Gateway;
 
 /// HTTP path for reports.
@@ -220,10 +220,10 @@
 }
 
 /// Handles a report, and responds with the reports of other boxes.
-pub async fn handle(gateway: &Gateway, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn handle(gateway: &Gateway, request: Request<Incoming>) -> Response<ResponseBody> {
     let message = box_call::read_message::<PeerReportMessage>(request, MAX_MESSAGE_BYTES);
     let Some(message) = message.await else {
-        return bare(StatusCode::BAD_REQUEST);
+        return status_only(StatusCode::BAD_REQUEST);
     };
     let now_ms = gateway.clock.now_ms();
     let report = if message.for_hall {
@@ -239,5 +239,5 @@
     } else {
         UpdateContent::AckOnly
     };
-    answer::message(&own_message(gateway, &sender, for_hall, report, content))
+    response::peer_message(&own_message(gateway, &sender, for_hall, report, content))
 }
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -39,8 +39,8 @@
 use unreadable_records::UnreadableRecords;
 use usage::UsageCounter;
 
-use crate::channel::Channels;
 use crate::clock::Clock;
+use crate::connection::ConnectionPool;
 use crate::dialect::{Adapter, Dialect, DutyCodec, Item, StoreCodec, Topic};
 use crate::history::Histories;
 use crate::log::Log;
@@ -78,7 +78,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Idle connections to upstreams.
-    pub channels: Channels,
+    pub channels: ConnectionPool,
     /// Membership and reports of the other boxes.
     pub peers: Peers,
     /// Recent changes of the topics, for boxes that follow this one.
@@ -137,7 +137,7 @@
             settings,
             log,
             metrics: Metrics::default(),
-            channels: Channels::default(),
+            channels: ConnectionPool::default(),
             peers,
             histories: Histories::default(),
             store_news: StoreEvents::default(),
--- a/crates/ivyweir-gateway/src/stream/resume.rs
+++ b/crates/ivyweir-gateway/src/stream/resume.rs
@@ -1,4 +1,4 @@
-//! Going on with a stream at another upstream.
+//! Resuming a stream at another upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,49 +9,49 @@
 use tokio::time::sleep;
 
 use super::{Source, Stream};
-use crate::attempt::{self, Reply, Sending, Sent};
-use crate::judge::judge_head;
-use crate::tries::{choose, has_attempt};
+use crate::attempt::{self, AttemptOptions, AttemptOutcome, Reply};
+use crate::canary::record_head;
+use crate::retry::{choose_upstream, take_attempt};
 
 impl Stream {
-    /// Takes in that the source broke off.
-    pub(super) fn broke(&mut self, error: &str) {
-        let upstream = self.source.lease.upstream.id.clone();
+    /// Records that the connection to the source broke.
+    pub(super) fn record_broken_source(&mut self, error: &str) {
+        let upstream = self.source.in_flight.upstream.id.clone();
         let detail = json!({
             "upstream": upstream, "error": error, "behind_event": self.last_event_id,
         });
         self.trace.fail("stream_broke", detail);
-        self.source.lease.broke();
+        self.source.in_flight.record_broken_connection();
         self.tried.push(upstream);
     }
 
-    /// Takes in that the source sends nothing, though its connection stands.
-    pub(super) fn fell_silent(&mut self) {
-        let upstream = self.source.lease.upstream.id.clone();
-        let silent_ms = self.gateway.clock.now_ms() - self.source.heard_ms;
+    /// Records that the source sends no data although its connection is open.
+    pub(super) fn record_stall(&mut self) {
+        let upstream = self.source.in_flight.upstream.id.clone();
+        let silent_ms = self.gateway.clock.now_ms() - self.source.last_read_ms;
         let detail = json!({
             "upstream": upstream, "silent_ms": silent_ms, "behind_event": self.last_event_id,
         });
         self.trace.fail("stream_silent", detail);
-        self.source.lease.outcome(true);
+        self.source.in_flight.record_outcome(true);
         self.tried.push(upstream);
     }
 
-    /// Goes on at another upstream; returns whether one answers. Where all want nothing for now, it waits for one until
-    /// `patient_until_ms`: the caller has all that came before, and would have to ask for it again.
-    pub(super) async fn resume(&mut self, patient_until_ms: u64) -> bool {
+    /// Resumes the stream at another upstream; returns whether one responds. If all are backing off, waits until
+    /// `resume_until_ms` for one, since the caller already has the previous events and would have to request them again.
+    pub(super) async fn resume(&mut self, resume_until_ms: u64) -> bool {
         if !self.job.route.kind.is_repeatable() {
             return false;
         }
         while !self.gateway.is_quarantined(self.job.fingerprint)
             && self.sent < self.job.route.max_attempts
         {
-            let choice = match choose(&self.gateway, &self.job, &self.tried, self.model) {
+            let choice = match choose_upstream(&self.gateway, &self.job, &self.tried, self.model) {
                 Ok(choice) => choice,
                 Err(ChooseError::AllBackingOff { for_ms })
                     if self
                         .gateway
-                        .has_capacity_by(&self.job, for_ms, patient_until_ms) =>
+                        .has_capacity_by(&self.job, for_ms, resume_until_ms) =>
                 {
                     self.trace
                         .step("waits", json!({"backing_off_for_ms": for_ms}));
@@ -60,18 +60,18 @@
                 }
                 Err(_) => return false,
             };
-            if !has_attempt(&self.gateway, &self.job, self.sent) {
+            if !take_attempt(&self.gateway, &self.job, self.sent) {
                 return false;
             }
-            let sent = self.send_to(&choice.upstream).await;
-            if !matches!(sent, Sent::NotRun { arrived: false }) {
+            let outcome = self.request_rest(&choice.upstream).await;
+            if !matches!(outcome, AttemptOutcome::NotRun { arrived: false }) {
                 self.sent += 1;
             }
             self.tried.push(choice.upstream.id.clone());
-            if let Sent::Answered(reply) = sent {
-                judge_head(&self.gateway, &self.job, &reply, self.model);
+            if let AttemptOutcome::Answered(reply) = outcome {
+                record_head(&self.gateway, &self.job, &reply, self.model);
                 if reply.response.status().is_success() {
-                    self.go_on_at(*reply);
+                    self.switch_source(*reply);
                     return true;
                 }
             }
@@ -79,21 +79,21 @@
         false
     }
 
-    /// Asks an upstream for the events behind the last one.
-    async fn send_to(&mut self, upstream: &Arc<UpstreamRecord>) -> Sent {
+    /// Requests the events after the last one from an upstream.
+    async fn request_rest(&mut self, upstream: &Arc<UpstreamRecord>) -> AttemptOutcome {
         let now_ms = self.gateway.clock.now_ms();
-        let sending = Sending {
+        let options = AttemptOptions {
             model: self.model,
             resume_after: self.last_event_id,
-            wait_ms: self.job.deadline_ms.saturating_sub(now_ms),
+            head_timeout_ms: self.job.deadline_ms.saturating_sub(now_ms),
         };
         let trace = &mut self.trace;
-        attempt::send(&self.gateway, &self.job, upstream, sending, trace).await
+        attempt::send(&self.gateway, &self.job, upstream, options, trace).await
     }
 
-    /// Takes an upstream's answer as the source from now on.
-    fn go_on_at(&mut self, reply: Reply) {
-        let upstream = &reply.lease.upstream.id;
+    /// Makes an upstream's reply the source of the stream.
+    fn switch_source(&mut self, reply: Reply) {
+        let upstream = &reply.in_flight.upstream.id;
         let detail = json!({
             "upstream": upstream, "behind_event": self.last_event_id,
             "leaving": reply.marks.statement.is_leaving,
@@ -102,13 +102,13 @@
         self.partial.clear();
         self.source = Source {
             running: reply.marks.running(),
-            replaced: self.gateway.watch_replacement(&reply.lease.upstream.id),
+            replaced: self.gateway.watch_replacement(&reply.in_flight.upstream.id),
             body: reply.response.into_body(),
-            lease: reply.lease,
-            keep_ms: reply.keep_ms,
+            in_flight: reply.in_flight,
+            keep_alive_ms: reply.keep_alive_ms,
             is_framed: reply.is_framed,
-            heard_ms: self.gateway.clock.now_ms(),
-            may_be_silent: false,
+            last_read_ms: self.gateway.clock.now_ms(),
+            ignores_stalls: false,
         };
     }
 }
--- a/crates/ivyweir-gateway/src/sync/confirm.rs
+++ b/crates/ivyweir-gateway/src/sync/confirm.rs
@@ -4,7 +4,7 @@
 use tokio::time::timeout;
 
 use super::Follower;
-use crate::client::ANSWER_LIMIT;
+use crate::client::RESPONSE_TIMEOUT;
 use crate::dialect::Topic;
 
 /// Number of waits for upstreams after a loss before the store's proof is renewed without them.
@@ -85,6 +85,6 @@
             }
         }
         self.gateway.histories.notify();
-        matches!(timeout(ANSWER_LIMIT, received.changed()).await, Ok(Ok(())))
+        matches!(timeout(RESPONSE_TIMEOUT, received.changed()).await, Ok(Ok(())))
     }
 }
--- a/crates/ivyweir-gateway/src/sync/peer.rs
+++ b/crates/ivyweir-gateway/src/sync/peer.rs
@@ -12,8 +12,8 @@
 use super::confirm::ResponseSource;
 use super::{FetchError, Follower, IDLE_WATCH_MS};
 use crate::apply::{ListingKind, apply_changes, apply_listing};
-use crate::box_call::{BoxCallError, question, read_answer};
-use crate::client::{Answer, CallError, Client};
+use crate::box_call::{BoxCallError, decode_response, get_request};
+use crate::client::{BufferedResponse, CallError, Client};
 use crate::dialect::{Item, Topic};
 use crate::follow::{FollowResponse, ProofScope, Snapshot, follow_path};
 use crate::history::Requester;
@@ -48,7 +48,7 @@
         if matches!(&answer, Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE) {
             return Err(self.report_sourceless(&relay));
         }
-        let answer = match read_answer::<FollowResponse>(answer) {
+        let answer = match decode_response::<FollowResponse>(answer) {
             Ok(answer) => answer,
             Err(error) => return Err(self.report_unresponsive(&relay, &error)),
         };
@@ -113,13 +113,13 @@
         since: Revision,
         relay: &BoxRecord,
         requester: Requester,
-    ) -> Result<Result<Answer, CallError>, FetchError> {
+    ) -> Result<Result<BufferedResponse, CallError>, FetchError> {
         let is_upstreams_requested = self.begin_request();
         let wait_ms = self.box_wait_ms(is_upstreams_requested);
         let requested = self.upstreams_requests_seen;
         let me = &self.gateway.settings.box_name;
         let path = follow_path(self.topic, since, wait_ms, requester, me);
-        let request = question(relay.peer_addr, &path);
+        let request = get_request(relay.peer_addr, &path);
         let client = match &mut self.connection {
             Some((known, client)) if known == relay => client,
             other => {
@@ -242,9 +242,9 @@
         let path = follow_path(self.topic, Revision::default(), 0, Requester::Copier, me);
         let limit = Duration::from_millis(COPY_LIMIT_MS);
         let answer = Client::new(peer_addr)
-            .call(question(peer_addr, &path), limit)
+            .call(get_request(peer_addr, &path), limit)
             .await;
-        let answer = read_answer::<FollowResponse>(answer)?;
+        let answer = decode_response::<FollowResponse>(answer)?;
         if let Some(Snapshot::Inline(items)) = answer.snapshot {
             let detail = json!({
                 "topic": self.topic.name(), "giver": peer_addr, "revision": answer.revision.to_string(),
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -12,7 +12,7 @@
 use super::confirm::ResponseSource;
 use super::{Follower, IDLE_WATCH_MS};
 use crate::apply::{ListingKind, apply_changes, apply_listing, readable_changes};
-use crate::client::{ANSWER_LIMIT, CallError};
+use crate::client::{CallError, RESPONSE_TIMEOUT};
 use crate::dialect::{Changes, Entry, Topic};
 use crate::state::Gateway;
 use crate::store_client::StoreResponse;
@@ -124,7 +124,7 @@
             .store_codec
             .watch(self.topic, since.number, wait_ms);
         let mut answer = self.call_store(request, wait_ms).await;
-        if self.failures == 0 && matches!(answer, Err(CallError::Lost { .. })) {
+        if self.failures == 0 && matches!(answer, Err(CallError::ResponseLost { .. })) {
             // The store may end a watch at any time; it is lost only if it does not respond to a
             // retry.
             let request = self
@@ -178,7 +178,7 @@
         let limit = if self.is_probing || self.failures > 0 {
             PROBE_LIMIT
         } else {
-            ANSWER_LIMIT
+            RESPONSE_TIMEOUT
         };
         let limit = Duration::from_millis(wait_ms) + limit;
         let Gateway {
@@ -192,7 +192,7 @@
             // then. So a long wait ends as soon as the short ones detect the loss.
             return tokio::select! {
                 answer = call => answer,
-                () = store_news.wait_for_store_loss() => Err(CallError::GivenUp {
+                () = store_news.wait_for_store_loss() => Err(CallError::Abandoned {
                     detail: "the store did not answer a configuration request".into(),
                 }),
             };
