--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -133,7 +133,9 @@
                     until_ms
                 }
             }
-            Err(SourceUnavailable::NotASource) => return status_only(StatusCode::SERVICE_UNAVAILABLE),
+            Err(SourceUnavailable::NotASource) => {
+                return status_only(StatusCode::SERVICE_UNAVAILABLE);
+            }
             Err(reason @ (SourceUnavailable::Searching | SourceUnavailable::Pending)) => {
                 if !gateway.peers.is_membership_ready() {
                     sourceless_since_ms = None;
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -2,14 +2,13 @@
 
 use std::sync::Arc;
 
-use hyper::{Request, Response, header};
 use hyper::body::Incoming;
+use hyper::{Request, Response, header};
 use ivyweir_policy::Name;
-use ivyweir_policy::gateway::cascade::{EscalationInput, self};
+use ivyweir_policy::gateway::cascade::{self, EscalationInput};
 use ivyweir_policy::gateway::statement::DeclaredLimit;
 use serde_json::json;
 
-use crate::stream;
 use crate::admit::admit;
 use crate::attempt::Reply;
 use crate::buffer::buffer_response;
@@ -20,6 +19,7 @@
 use crate::response::ResponseBody;
 use crate::retry::{RetryState, choose_upstream, next_reply, take_retry};
 use crate::state::{ActiveRequest, Gateway};
+use crate::stream;
 
 /// Handles a request of a caller.
 pub async fn handle(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
--- a/crates/ivyweir-gateway/src/sync/confirm.rs
+++ b/crates/ivyweir-gateway/src/sync/confirm.rs
@@ -85,6 +85,9 @@
             }
         }
         self.gateway.histories.notify();
-        matches!(timeout(RESPONSE_TIMEOUT, received.changed()).await, Ok(Ok(())))
+        matches!(
+            timeout(RESPONSE_TIMEOUT, received.changed()).await,
+            Ok(Ok(()))
+        )
     }
 }
