--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::Clock;
 use crate::config::Current;
-use crate::gate::Moment;
+use crate::dispatcher::FleetSnapshot;
 use crate::learn::class_name;
 use crate::node::Node;
 use crate::once::{self, Claimed};
@@ -95,8 +95,8 @@
     }
 
     /// Now, with what choices need.
-    pub fn moment(&self) -> Moment {
-        Moment {
+    pub fn moment(&self) -> FleetSnapshot {
+        FleetSnapshot {
             now_ms: self.node.clock.now_ms(),
             live_boxes: self.node.live_boxes(),
         }
--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::membership::{Heartbeat, Member};
 use ivyweir_policy::quality::{CounterKey, CounterOwner, QualityCounts};
 
-use crate::gate::Moment;
+use crate::dispatcher::FleetSnapshot;
 use crate::learn::{Tally, Verdict};
 use crate::loads;
 use crate::node::Node;
@@ -122,7 +122,7 @@
 fn loads(node: &Node, now_ms: u64, turn: usize) -> Vec<pb::Load> {
     let news_ms = NEWS_ROUNDS * node.timing().period_ms;
     let max_age_ms = 4 * loads::interval(node).as_millis() as u64 + news_ms;
-    node.gate.read_upstreams(|u| {
+    node.gate.filter_map_upstreams(|u| {
         let report = &u.report;
         let age_ms = now_ms.saturating_sub(report.at_ms);
         let is_news = now_ms.saturating_sub(u.report_changed_ms()) <= news_ms;
@@ -173,11 +173,11 @@
             Some((load.upstream_id, report))
         })
         .collect();
-    let moment = Moment {
+    let moment = FleetSnapshot {
         now_ms,
         live_boxes: node.live_boxes(),
     };
-    node.gate.report(reports, moment);
+    node.gate.apply_load_reports(reports, moment);
     unknown
 }
 
--- a/crates/ivyweird/src/loads.rs
+++ b/crates/ivyweird/src/loads.rs
@@ -6,7 +6,7 @@
 use ivyweir_policy::balance::{LoadReport, Upstream, VersionSet};
 use ivyweir_policy::{BoxState, Name, hash};
 
-use crate::gate::Moment;
+use crate::dispatcher::FleetSnapshot;
 use crate::node::Node;
 
 /// Boxes that ask one upstream.
@@ -52,7 +52,7 @@
     while !node.is_stopped() {
         let serving = node.serving();
         let hashes: Vec<u64> = serving.iter().map(|m| hash_name(&m.name)).collect();
-        let targets = node.gate.read_upstreams(|upstream| {
+        let targets = node.gate.filter_map_upstreams(|upstream| {
             let mine = upstream.state == BoxState::Live && is_mine(me, &hashes, upstream);
             mine.then(|| Target {
                 id: upstream.id(),
@@ -72,7 +72,7 @@
 
 /// Time between two reports of one upstream, for as many upstreams as there are.
 pub fn interval(node: &Node) -> Duration {
-    let upstreams = node.gate.read_upstreams(|_| Some(())).len() as u32;
+    let upstreams = node.gate.filter_map_upstreams(|_| Some(())).len() as u32;
     (INTERVAL_PER_UPSTREAM * upstreams).max(MIN_INTERVAL)
 }
 
@@ -106,10 +106,10 @@
             versions,
             at_ms: asked_ms,
         };
-        let moment = Moment {
+        let moment = FleetSnapshot {
             now_ms: node.clock.now_ms(),
             live_boxes: node.live_boxes(),
         };
-        node.gate.report([(target.id, report)], moment);
+        node.gate.apply_load_reports([(target.id, report)], moment);
     }
 }
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::Clock;
 use crate::config::{BoxListState, ConfigState, Current};
-use crate::gate::Gate;
+use crate::dispatcher::Dispatcher;
 use crate::learn::Learning;
 use crate::ledger::Ledger;
 use crate::metrics::Metrics;
@@ -60,7 +60,7 @@
     /// Calls to peers.
     pub peers: Client,
     /// Upstreams and the queues before them.
-    pub gate: Gate,
+    pub gate: Dispatcher,
     /// Quality estimates and verdicts.
     pub learning: Learning,
     /// Answers to be rated.
@@ -128,7 +128,7 @@
             service: Arc::new(HttpService),
             rater,
             peers: Client::new(settings.fleet_key())?,
-            gate: Gate::new(&settings),
+            gate: Dispatcher::new(&settings),
             learning: Learning::new(&me),
             ratings: RatingQueue::new(),
             ledger: Ledger::new(settings.limits.max_billing_bytes),
@@ -258,7 +258,7 @@
         }
         let live = self
             .gate
-            .read_upstreams(|u| (u.state == BoxState::Live).then_some(u.report.at_ms));
+            .filter_map_upstreams(|u| (u.state == BoxState::Live).then_some(u.report.at_ms));
         let reported = live.iter().filter(|at_ms| **at_ms > 0).count();
         let has_list = self.box_list.get().generation > 0;
         let waited = self.clock.now_ms() > self.started_ms + WARM_UP_MS;
--- a/crates/ivyweird/src/run.rs
+++ b/crates/ivyweird/src/run.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Clock;
 use crate::context::Context;
-use crate::gate::{Ask, Held};
+use crate::dispatcher::{DispatchRequest, Reservation};
 use crate::learn::Observation;
 use crate::rate::Sample;
 
@@ -37,8 +37,8 @@
 }
 
 /// What an upstream must have for a call.
-pub fn ask(context: &Context<'_>, at: &VersionRef, prefix: u64, tries: &Tries) -> Ask {
-    Ask {
+pub fn ask(context: &Context<'_>, at: &VersionRef, prefix: u64, tries: &Tries) -> DispatchRequest {
+    DispatchRequest {
         pool: None,
         version: Some(at.to_string().into()),
         prefix: Some(prefix),
@@ -61,7 +61,7 @@
     at: &VersionRef,
     prefix: u64,
     tries: &mut Tries,
-) -> Result<Held<'c>, Refusal> {
+) -> Result<Reservation<'c>, Refusal> {
     let node = context.node;
     let ask = ask(context, at, prefix, tries);
     let acquired = node.gate.acquire(ask, context.moment());
@@ -74,7 +74,7 @@
         return Err(refusal);
     }
     if tries.tried.is_empty() {
-        node.gate.count_try();
+        node.gate.count_first_attempt();
     }
     tries.tried.push(held.upstream.name.clone());
     Ok(held)
@@ -90,7 +90,7 @@
         && error.is_retryable()
         && tries.tried.len() < MAX_TRIES
         && context.left_ms() > 0
-        && context.node.gate.may_retry();
+        && context.node.gate.take_retry();
     if allowed {
         context.node.metrics.retries.add(1, &[]);
     }
@@ -191,7 +191,7 @@
 }
 
 /// What is learnt from a call, before it is known how it ended.
-pub fn observation(context: &Context<'_>, at: &VersionRef, held: &Held<'_>) -> Observation {
+pub fn observation(context: &Context<'_>, at: &VersionRef, held: &Reservation<'_>) -> Observation {
     Observation {
         at: at.clone(),
         class: context.class.clone(),
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -10,7 +10,7 @@
 
 use crate::caller_api::Parsed;
 use crate::context::Context;
-use crate::gate::Ask;
+use crate::dispatcher::DispatchRequest;
 use crate::run;
 
 /// Where plain services are reached.
@@ -99,7 +99,7 @@
             return Err(refusal);
         }
         if tried.is_empty() {
-            node.gate.count_try();
+            node.gate.count_first_attempt();
         }
         tried.push(held.upstream.name.clone());
         let timeout = Duration::from_millis(context.left_ms().max(1));
@@ -115,9 +115,9 @@
     }
 }
 
-fn ask(context: &Context<'_>, pool: &str, tried: &[Name]) -> Ask {
+fn ask(context: &Context<'_>, pool: &str, tried: &[Name]) -> DispatchRequest {
     let session = context.session.as_ref();
-    Ask {
+    DispatchRequest {
         pool: Some(pool.into()),
         version: None,
         prefix: session.map(|s| hash64(&[s.nonce.as_bytes()])),
@@ -149,7 +149,7 @@
     let allowed = (repeatable || !error.may_have_run)
         && tried.len() < run::MAX_TRIES
         && context.left_ms() > 0
-        && context.node.gate.may_retry();
+        && context.node.gate.take_retry();
     if allowed {
         context.node.metrics.retries.add(1, &[]);
     }
--- a/crates/ivyweird/src/spread.rs
+++ b/crates/ivyweird/src/spread.rs
@@ -10,7 +10,7 @@
 use crate::clock::Clock;
 use crate::config::Adoption;
 use crate::digest::{self, Lacking, Tell};
-use crate::gate::Moment;
+use crate::dispatcher::FleetSnapshot;
 use crate::node::Node;
 
 /// Name of the configuration in the store.
@@ -209,11 +209,11 @@
         return false;
     };
     node.with_members(|table, _, _| table.apply_box_list(&list));
-    let moment = Moment {
+    let moment = FleetSnapshot {
         now_ms: node.clock.now_ms(),
         live_boxes: node.live_boxes(),
     };
-    node.gate.apply_list(&list, moment);
+    node.gate.apply_box_list(&list, moment);
     let leaves = list
         .boxes
         .iter()
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -9,7 +9,7 @@
 use serde_json::{Map, Value};
 
 use crate::context::Context;
-use crate::gate::Held;
+use crate::dispatcher::Reservation;
 use crate::route::{self, Route};
 use crate::run::{self, Tries};
 
@@ -130,7 +130,7 @@
     }
 
     /// One call to one engine. Returns the time to its first token.
-    fn call_once(&mut self, held: &Held<'_>) -> Result<u64, Stop> {
+    fn call_once(&mut self, held: &Reservation<'_>) -> Result<u64, Stop> {
         let started_ms = self.context.node.clock.now_ms();
         self.sent_chunks_before = self.sent_chunks;
         let completion = run::completion(self.context, &self.remaining(), &self.at)
