--- a/crates/ivyweird/src/caller_api.rs
+++ b/crates/ivyweird/src/caller_api.rs
@@ -149,7 +149,7 @@
             Ok(Reply::json(200, ModelList::new(ids).to_vec()))
         }
         ("POST", "/v1/sessions") => session::open(&context),
-        (_, path) if path.starts_with(service_call::PREFIX) => {
+        (_, path) if path.starts_with(service_call::PATH_PREFIX) => {
             let run = || service_call::answer(&context, parsed);
             once_or_more(&context, parsed, run)
         }
--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions that are answered whole.
+//! Chat completions without streaming.
 
 use ivyweir_caller::{ChatRequest, Reply};
 use ivyweir_policy::Refusal;
@@ -6,14 +6,14 @@
 use ivyweir_policy::model_selection::Choice;
 
 use crate::context::Context;
+use crate::engine_call::{self, CompletedCall};
 use crate::route::{self, Route};
-use crate::run::{self, Answered};
 
-/// Answers a request as a whole.
+/// Answers a request with one complete response.
 ///
 /// # Errors
 ///
-/// A refusal.
+/// Returns a refusal if the request was not answered or could not be billed.
 pub fn answer(context: &Context<'_>, request: &ChatRequest) -> Result<Reply, Refusal> {
     let route = route::find(context, request)?;
     context.node.ledger.check_room()?;
@@ -21,20 +21,24 @@
     request.stream = false;
     request.body.remove("stream");
     request.body.remove("stream_options");
-    let (answered, calls) = call(context, &request, &route)?;
-    run::bill(context, calls)?;
-    Ok(reply(context, &answered))
+    let (completed, calls) = call_route(context, &request, &route)?;
+    engine_call::bill(context, calls)?;
+    Ok(reply(context, &completed))
 }
 
-fn call(
+fn call_route(
     context: &Context<'_>,
     request: &ChatRequest,
     route: &Route,
-) -> Result<(Answered, Vec<Call>), Refusal> {
-    let first_at = &route.first().version;
-    let first = run::call_whole(context, request, first_at, route.prefix)?;
-    run::sample(context, &request.prompt(), &first);
-    let mut calls = vec![run::charge(context, &first.at, first.answer.usage)];
+) -> Result<(CompletedCall, Vec<Call>), Refusal> {
+    let first_version = &route.first().version;
+    let first = engine_call::call_with_retries(context, request, first_version, route.prefix)?;
+    engine_call::offer_for_rating(context, &request.prompt(), &first);
+    let mut calls = vec![engine_call::charge(
+        context,
+        &first.version,
+        first.answer.usage,
+    )];
     let Choice::Cascade {
         fallback,
         min_accepted_bucket,
@@ -46,8 +50,8 @@
     if first.observation.bucket >= min_accepted_bucket {
         return Ok((first, calls));
     }
-    // Without a second answer, the first one is still whole and allowed.
-    let Ok(second) = run::call_whole(
+    // If the second call fails, the first answer is returned: it is complete and permitted.
+    let Ok(second) = engine_call::call_with_retries(
         context,
         request,
         &route.candidates[fallback].version,
@@ -55,15 +59,19 @@
     ) else {
         return Ok((first, calls));
     };
-    run::sample(context, &request.prompt(), &second);
-    calls.push(run::charge(context, &second.at, second.answer.usage));
+    engine_call::offer_for_rating(context, &request.prompt(), &second);
+    calls.push(engine_call::charge(
+        context,
+        &second.version,
+        second.answer.usage,
+    ));
     Ok((second, calls))
 }
 
-fn reply(context: &Context<'_>, answered: &Answered) -> Reply {
-    let body = serde_json::to_vec(&answered.answer.body).expect("an answer is always valid JSON");
+fn reply(context: &Context<'_>, completed: &CompletedCall) -> Reply {
+    let body = serde_json::to_vec(&completed.answer.body).expect("an answer is always valid JSON");
     Reply::json(200, body)
-        .with("X-Ivyweir-Version", answered.at.to_string())
+        .with("X-Ivyweir-Version", completed.version.to_string())
         .with("X-Ivyweir-Request-Key", context.key.as_ref())
         .with("X-Ivyweir-Box", context.node.me.box_name.as_ref())
 }
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -11,41 +11,43 @@
 use crate::caller_api::Parsed;
 use crate::context::Context;
 use crate::dispatcher::DispatchRequest;
-use crate::run;
+use crate::engine_call;
 
-/// Where plain services are reached.
-pub const PREFIX: &str = "/services/";
+/// Path prefix of calls to plain services.
+pub const PATH_PREFIX: &str = "/services/";
 
-/// Headers meant for ivyweir alone.
-const OWN_HEADERS: &str = "x-ivyweir-";
+/// Lower-case prefix of the headers that address ivyweir and are not forwarded to services.
+const IVYWEIR_HEADER_PREFIX: &str = "x-ivyweir-";
 
-/// The pool and the service's own path.
+/// Splits `/services/POOL/...` into the pool and the path at the service.
 fn split_path(path_and_query: &str) -> Option<(&str, String)> {
-    let rest = path_and_query.strip_prefix(PREFIX)?;
-    let end = rest.find(['/', '?']).unwrap_or(rest.len());
-    let (pool, tail) = rest.split_at(end);
-    let tail = if tail.starts_with('/') {
-        tail.to_owned()
+    let pool_and_path = path_and_query.strip_prefix(PATH_PREFIX)?;
+    let end = pool_and_path
+        .find(['/', '?'])
+        .unwrap_or(pool_and_path.len());
+    let (pool, service_path) = pool_and_path.split_at(end);
+    let service_path = if service_path.starts_with('/') {
+        service_path.to_owned()
     } else {
-        format!("/{tail}")
+        format!("/{service_path}")
     };
-    (!pool.is_empty()).then_some((pool, tail))
+    (!pool.is_empty()).then_some((pool, service_path))
 }
 
 /// Answers a call to a plain service.
 ///
 /// # Errors
 ///
-/// A refusal.
+/// Returns a refusal if the call was not answered or could not be billed.
 pub fn answer(context: &Context<'_>, parsed: &Parsed) -> Result<Reply, Refusal> {
-    let not_found = || Refusal::not_run(Code::NotFound, "no such service");
+    let not_found = || Refusal::not_run(Code::NotFound, "no service pool in the path");
     let (pool, path) = split_path(&parsed.path_and_query).ok_or_else(not_found)?;
     check_allowed(context, pool)?;
     context.node.ledger.check_room()?;
     let call = ivyweir_service::Call {
         method: parsed.method.clone(),
         path_and_query: path,
-        headers: carried_headers(&parsed.headers),
+        headers: forwarded_headers(&parsed.headers),
         body: parsed.body.clone(),
     };
     let reply = call_with_retries(context, pool, &call)?;
@@ -54,8 +56,8 @@
         tokens: 0,
         cost_micro: 0,
     };
-    run::bill(context, vec![charge])?;
-    Ok(carried_reply(context, reply))
+    engine_call::bill(context, vec![charge])?;
+    Ok(caller_reply(context, reply))
 }
 
 fn check_allowed(context: &Context<'_>, pool: &str) -> Result<(), Refusal> {
@@ -68,7 +70,7 @@
     if !is_service {
         return Err(Refusal::not_run(
             Code::NotFound,
-            format!("no service {pool}"),
+            format!("no service pool named {pool}"),
         ));
     }
     let workspace = config.config.workspaces.get(&context.workspace);
@@ -77,7 +79,7 @@
     }
     Err(Refusal::not_run(
         Code::Forbidden,
-        format!("the workspace may not use {pool}"),
+        format!("the workspace is not allowed to use service {pool}"),
     ))
 }
 
@@ -91,31 +93,31 @@
     loop {
         let acquired = node
             .gate
-            .acquire(ask(context, pool, &tried), context.moment());
-        let held = acquired.map_err(|refusal| context.refuse(refusal))?;
+            .acquire(dispatch_request(context, pool, &tried), context.moment());
+        let reservation = acquired.map_err(|refusal| context.refuse(refusal))?;
         let checked = check_allowed(context, pool).and_then(|()| context.before_send());
         if let Err(refusal) = checked {
-            held.finish(true, None, context.moment());
+            reservation.finish(true, None, context.moment());
             return Err(refusal);
         }
         if tried.is_empty() {
             node.gate.count_first_attempt();
         }
-        tried.push(held.upstream.name.clone());
+        tried.push(reservation.upstream.name.clone());
         let timeout = Duration::from_millis(context.left_ms().max(1));
-        let called = node.service.call(&held.upstream.addr, call, timeout);
-        held.finish(called.is_ok(), None, context.moment());
+        let called = node.service.call(&reservation.upstream.addr, call, timeout);
+        reservation.finish(called.is_ok(), None, context.moment());
         node.metrics
             .upstream_call(pool, if called.is_ok() { "ok" } else { "failed" });
         match called {
             Ok(reply) => return Ok(reply),
-            Err(error) if may_try_again(context, call, &error, &tried) => {}
+            Err(error) if should_retry(context, call, &error, &tried) => {}
             Err(error) => return Err(refusal(context, &error)),
         }
     }
 }
 
-fn ask(context: &Context<'_>, pool: &str, tried: &[Name]) -> DispatchRequest {
+fn dispatch_request(context: &Context<'_>, pool: &str, tried: &[Name]) -> DispatchRequest {
     let session = context.session.as_ref();
     DispatchRequest {
         pool: Some(pool.into()),
@@ -130,8 +132,12 @@
     }
 }
 
-/// A call is repeated if it did not run, or if running it twice does no harm.
-fn may_try_again(
+/// Whether to retry a failed call: it did not run, or the request is safe to repeat. If so, takes one
+/// retry from the budget.
+///
+/// A request is safe to repeat if its method is idempotent or the caller sent a request key, unless
+/// the caller asked for at most one execution.
+fn should_retry(
     context: &Context<'_>,
     call: &ivyweir_service::Call,
     error: &CallError,
@@ -140,14 +146,14 @@
     if !error.may_have_run {
         context.nothing_ran();
     }
-    let by_method = matches!(
+    let is_idempotent_method = matches!(
         call.method.as_str(),
         "GET" | "HEAD" | "OPTIONS" | "PUT" | "DELETE"
     );
-    let repeatable =
-        !context.marks.at_most_once && (by_method || context.marks.request_key.is_some());
+    let repeatable = !context.marks.at_most_once
+        && (is_idempotent_method || context.marks.request_key.is_some());
     let allowed = (repeatable || !error.may_have_run)
-        && tried.len() < run::MAX_TRIES
+        && tried.len() < engine_call::MAX_ATTEMPTS
         && context.left_ms() > 0
         && context.node.gate.take_retry();
     if allowed {
@@ -167,12 +173,16 @@
     context.refuse(Refusal::not_run(code, format!("service: {error}")))
 }
 
-/// The caller's headers without its key to ivyweir and without marks for ivyweir.
-fn carried_headers(headers: &[Header]) -> Vec<ivyweir_service::Header> {
+/// The caller's headers without its ivyweir credentials and without headers that address ivyweir.
+fn forwarded_headers(headers: &[Header]) -> Vec<ivyweir_service::Header> {
     headers
         .iter()
         .filter(|h| !h.name.eq_ignore_ascii_case("authorization"))
-        .filter(|h| !h.name.to_ascii_lowercase().starts_with(OWN_HEADERS))
+        .filter(|h| {
+            !h.name
+                .to_ascii_lowercase()
+                .starts_with(IVYWEIR_HEADER_PREFIX)
+        })
         .map(|h| ivyweir_service::Header {
             name: h.name.clone(),
             value: h.value.clone(),
@@ -180,7 +190,7 @@
         .collect()
 }
 
-fn carried_reply(context: &Context<'_>, reply: ivyweir_service::Reply) -> Reply {
+fn caller_reply(context: &Context<'_>, reply: ivyweir_service::Reply) -> Reply {
     let headers = reply
         .headers
         .into_iter()
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -1,4 +1,4 @@
-//! Chat completions that are streamed: an event per token, and on at another engine if one dies.
+//! Streamed chat completions: one event per token, resumed on another engine if one fails.
 
 use std::time::Duration;
 
@@ -10,41 +10,41 @@
 
 use crate::context::Context;
 use crate::dispatcher::Reservation;
+use crate::engine_call::{self, Attempts};
 use crate::route::{self, Route};
-use crate::run::{self, Tries};
 
-/// How a stream stands towards its caller.
-struct Live<'c, 'n> {
+/// State of one streamed answer.
+struct ChatStream<'c, 'n> {
     context: &'c Context<'n>,
     request: &'c ChatRequest,
-    at: VersionRef,
+    version: VersionRef,
     prefix: u64,
+    /// The connection until the response head is sent; then `events` replaces it.
     incoming: Option<Incoming>,
     events: Option<EventWriter>,
-    /// Text that the caller has.
-    sent: String,
+    /// Text already sent to the caller.
+    sent_text: String,
+    /// Number of chunks already sent to the caller.
     sent_chunks: u64,
-    /// Those of them that came from engines before the present one.
-    sent_chunks_before: u64,
+    /// Value of `sent_chunks` when the current engine call began.
+    sent_chunks_before_call: u64,
     usage: Usage,
-    /// Chunks from the finish reason on; they wait until the request is billed.
-    last_chunks: Vec<Map<String, Value>>,
+    /// Chunks from the finish reason on, held back until the request is billed.
+    held_back_chunks: Vec<Map<String, Value>>,
 }
 
-/// Why a stream stopped short.
-enum Stop {
-    /// The upstream failed.
+/// Why a call ended before its stream was complete.
+enum StreamError {
     Upstream(CallError),
-    /// The caller is gone.
-    Caller,
+    CallerGone,
 }
 
-/// Answers a request with a stream. Returns how it ended, for the count.
+/// Answers a request with a stream. Returns the outcome label for the request metric.
 pub fn answer(context: &Context<'_>, request: &ChatRequest, incoming: Incoming) -> &'static str {
     let found = route::find(context, request);
     let ready = found.and_then(|route| context.node.ledger.check_room().map(|()| route));
     match ready {
-        Ok(route) => Live::new(context, request, &route, incoming).run(),
+        Ok(route) => ChatStream::new(context, request, &route, incoming).run(),
         Err(refusal) => {
             let _caller_gone = incoming.reply(Reply::from(&refusal));
             refusal.code.as_str()
@@ -52,7 +52,7 @@
     }
 }
 
-impl<'c, 'n> Live<'c, 'n> {
+impl<'c, 'n> ChatStream<'c, 'n> {
     fn new(
         context: &'c Context<'n>,
         request: &'c ChatRequest,
@@ -62,23 +62,23 @@
         Self {
             context,
             request,
-            at: route.first().version.clone(),
+            version: route.first().version.clone(),
             prefix: route.prefix,
             incoming: Some(incoming),
             events: None,
-            sent: String::new(),
+            sent_text: String::new(),
             sent_chunks: 0,
-            sent_chunks_before: 0,
+            sent_chunks_before_call: 0,
             usage: Usage::default(),
-            last_chunks: Vec::new(),
+            held_back_chunks: Vec::new(),
         }
     }
 
     fn run(mut self) -> &'static str {
-        let outcome = self.call_until_whole();
+        let outcome = self.call_with_retries();
         let outcome = match outcome {
-            Ok(()) => run::bill(self.context, vec![self.charge()]).map_err(Some),
-            Err(stop) => Err(stop),
+            Ok(()) => engine_call::bill(self.context, vec![self.charge()]).map_err(Some),
+            Err(failure) => Err(failure),
         };
         match outcome {
             Ok(()) => self.finish(),
@@ -87,74 +87,84 @@
         }
     }
 
-    /// Calls engines until the stream is whole; none as the error when the caller is gone.
-    fn call_until_whole(&mut self) -> Result<(), Option<Refusal>> {
-        let mut tries = Tries::default();
+    /// Calls engines until the stream is complete. The error is `None` if the caller is gone.
+    fn call_with_retries(&mut self) -> Result<(), Option<Refusal>> {
+        let mut attempts = Attempts::default();
         loop {
-            let held = run::hold_upstream(self.context, &self.at, self.prefix, &mut tries)
-                .map_err(Some)?;
-            let mut observation = run::observation(self.context, &self.at, &held);
-            let stopped = self.call_once(&held);
-            let fault = match &stopped {
-                Ok(_) | Err(Stop::Caller) => None,
-                Err(Stop::Upstream(error)) => Some(error.fault),
+            let reservation = engine_call::reserve_upstream(
+                self.context,
+                &self.version,
+                self.prefix,
+                &mut attempts,
+            )
+            .map_err(Some)?;
+            let mut observation =
+                engine_call::observation(self.context, &self.version, &reservation);
+            let called = self.call_once(&reservation);
+            let fault = match &called {
+                Ok(_) | Err(StreamError::CallerGone) => None,
+                Err(StreamError::Upstream(error)) => Some(error.fault),
             };
             observation.failed = fault.is_some();
-            run::learn(self.context, &observation, fault);
-            let first_token_ms = stopped.as_ref().ok().copied();
-            held.finish(
-                run::is_upstream_ok(fault),
+            engine_call::record_outcome(self.context, &observation, fault);
+            let first_token_ms = called.as_ref().ok().copied();
+            reservation.finish(
+                engine_call::is_upstream_success(fault),
                 first_token_ms,
                 self.context.moment(),
             );
-            match stopped {
+            match called {
                 Ok(_) => return Ok(()),
-                Err(Stop::Caller) => return Err(None),
-                Err(Stop::Upstream(error)) if self.may_go_on(&error, &tries) => {}
-                Err(Stop::Upstream(error)) => return Err(Some(run::refusal(self.context, &error))),
+                Err(StreamError::CallerGone) => return Err(None),
+                Err(StreamError::Upstream(error)) if self.may_continue(&error, &attempts) => {}
+                Err(StreamError::Upstream(error)) => {
+                    return Err(Some(engine_call::refusal(self.context, &error)));
+                }
             }
         }
     }
 
-    /// Whether another engine may begin anew or go on behind what the caller has.
-    fn may_go_on(&self, error: &CallError, tries: &Tries) -> bool {
-        let has_begun = self.sent_chunks > 0;
-        if has_begun && !self.context.node.settings.policy.resume {
+    /// Whether another engine may restart the stream, or resume it after the text already sent.
+    fn may_continue(&self, error: &CallError, attempts: &Attempts) -> bool {
+        let has_sent = self.sent_chunks > 0;
+        if has_sent && !self.context.node.settings.policy.resume {
             return false;
         }
-        let goes_on = run::may_try_again(self.context, error, tries);
-        if goes_on && has_begun {
+        let should_retry = engine_call::should_retry(self.context, error, attempts);
+        if should_retry && has_sent {
             self.context.node.metrics.resumed_streams.add(1, &[]);
         }
-        goes_on
+        should_retry
     }
 
-    /// One call to one engine. Returns the time to its first token.
-    fn call_once(&mut self, held: &Reservation<'_>) -> Result<u64, Stop> {
+    /// Makes one call to one engine. Returns the time to its first token in milliseconds.
+    fn call_once(&mut self, reservation: &Reservation<'_>) -> Result<u64, StreamError> {
         let started_ms = self.context.node.clock.now_ms();
-        self.sent_chunks_before = self.sent_chunks;
-        let completion = run::completion(self.context, &self.remaining(), &self.at)
-            .streamed()
-            .continuing(&self.sent);
+        self.sent_chunks_before_call = self.sent_chunks;
+        let completion =
+            engine_call::completion(self.context, &self.remaining_request(), &self.version)
+                .streamed()
+                .continuing(&self.sent_text);
         let timeout = Duration::from_millis(self.context.left_ms().max(1));
         let engine = &self.context.node.engine;
-        let stream = engine.stream(&held.upstream.addr, &completion, timeout);
+        let stream = engine.stream(&reservation.upstream.addr, &completion, timeout);
         let mut first_token_ms = None;
-        for chunk in stream.map_err(Stop::Upstream)? {
-            let chunk = chunk.map_err(Stop::Upstream)?;
+        for chunk in stream.map_err(StreamError::Upstream)? {
+            let chunk = chunk.map_err(StreamError::Upstream)?;
             if self.context.left_ms() == 0 {
-                let late = CallError::new(Fault::TimedOut, "deadline");
-                return Err(Stop::Upstream(late));
+                let error = CallError::new(Fault::TimedOut, "deadline passed while streaming");
+                return Err(StreamError::Upstream(error));
             }
             let now_ms = self.context.node.clock.now_ms();
             first_token_ms.get_or_insert(now_ms - started_ms);
-            self.pass_on(chunk)?;
+            self.forward_chunk(chunk)?;
         }
         Ok(first_token_ms.unwrap_or(0))
     }
 
-    /// The request, with fewer tokens to come where some were sent.
-    fn remaining(&self) -> ChatRequest {
+    /// The request with its token limit reduced by the number of chunks already sent, as each chunk is
+    /// one token, but to no less than 1.
+    fn remaining_request(&self) -> ChatRequest {
         let mut request = self.request.clone();
         if self.sent_chunks > 0
             && let Some(max_tokens) = request.max_tokens
@@ -169,11 +179,11 @@
         request
     }
 
-    /// Sends a chunk on; the last one is kept until the request is billed.
-    fn pass_on(&mut self, chunk: Chunk) -> Result<(), Stop> {
+    /// Sends a chunk to the caller. The final chunks are held back until the request is billed.
+    fn forward_chunk(&mut self, chunk: Chunk) -> Result<(), StreamError> {
         let mut body = chunk.body;
         if let Some(usage) = chunk.usage {
-            self.usage = self.whole_usage(usage);
+            self.usage = self.total_usage(usage);
             let usage = serde_json::to_value(self.usage).expect("usage is always valid JSON");
             body.insert("usage".into(), usage);
         }
@@ -187,38 +197,42 @@
         let has_choice = body.get("choices").is_some_and(|c| c.get(0).is_some());
         if chunk.is_final || !has_choice {
             if has_choice || self.request.wants_usage() {
-                self.last_chunks.push(body);
+                self.held_back_chunks.push(body);
             }
             return Ok(());
         }
         if chunk.text.is_empty() {
             return Ok(());
         }
-        self.begin().map_err(|_| Stop::Caller)?;
+        self.send_head().map_err(|_| StreamError::CallerGone)?;
         let text = serde_json::to_string(&body).expect("a chunk is always valid JSON");
         let events = self.events.as_mut().expect("the stream has begun");
-        events.event(&text).map_err(|_| Stop::Caller)?;
-        self.sent.push_str(&chunk.text);
+        events.event(&text).map_err(|_| StreamError::CallerGone)?;
+        self.sent_text.push_str(&chunk.text);
         self.sent_chunks += 1;
         Ok(())
     }
 
-    /// The usage of the whole stream: a call that went on read as prompt what others generated.
-    fn whole_usage(&self, last: Usage) -> Usage {
-        let before = self.sent_chunks_before.min(last.prompt_tokens);
+    /// The usage of the complete stream.
+    ///
+    /// A resumed call receives the tokens generated by earlier engines as part of its prompt, so they
+    /// are moved from prompt tokens to completion tokens.
+    fn total_usage(&self, last_call: Usage) -> Usage {
+        let generated_before = self.sent_chunks_before_call.min(last_call.prompt_tokens);
         Usage {
-            prompt_tokens: last.prompt_tokens - before,
-            completion_tokens: last.completion_tokens + before,
-            total_tokens: last.total_tokens,
+            prompt_tokens: last_call.prompt_tokens - generated_before,
+            completion_tokens: last_call.completion_tokens + generated_before,
+            total_tokens: last_call.total_tokens,
         }
     }
 
-    fn begin(&mut self) -> std::io::Result<()> {
+    /// Sends the response head unless it was sent before.
+    fn send_head(&mut self) -> std::io::Result<()> {
         let Some(incoming) = self.incoming.take() else {
             return Ok(());
         };
         let headers = [
-            Header::new("X-Ivyweir-Version", self.at.to_string()),
+            Header::new("X-Ivyweir-Version", self.version.to_string()),
             Header::new("X-Ivyweir-Request-Key", self.context.key.as_ref()),
             Header::new("X-Ivyweir-Box", self.context.node.me.box_name.as_ref()),
         ];
@@ -227,16 +241,16 @@
     }
 
     fn charge(&self) -> Call {
-        run::charge(self.context, &self.at, self.usage)
+        engine_call::charge(self.context, &self.version, self.usage)
     }
 
     fn finish(mut self) -> &'static str {
-        if self.begin().is_err() {
+        if self.send_head().is_err() {
             return "caller_gone";
         }
         let mut events = self.events.take().expect("the stream has begun");
-        for last in &self.last_chunks {
-            let text = serde_json::to_string(last).expect("a chunk is always valid JSON");
+        for chunk in &self.held_back_chunks {
+            let text = serde_json::to_string(chunk).expect("a chunk is always valid JSON");
             if events.event(&text).is_err() {
                 return "caller_gone";
             }
@@ -247,7 +261,8 @@
         }
     }
 
-    /// Tells the caller: by status if nothing was sent, else by an error event and no end mark.
+    /// Reports a refusal: as an HTTP status if nothing was sent yet, otherwise as an error event
+    /// without the end-of-stream marker.
     fn fail(mut self, refusal: &Refusal) -> &'static str {
         if let Some(incoming) = self.incoming.take() {
             let _caller_gone = incoming.reply(Reply::from(refusal));
