--- a/crates/ivyweird/src/caller_api.rs
+++ b/crates/ivyweird/src/caller_api.rs
@@ -1,4 +1,4 @@
-//! The paths that callers use.
+//! The HTTP API for callers.
 
 use std::sync::Arc;
 
@@ -9,27 +9,22 @@
 use crate::node::Node;
 use crate::{chat, forward, route, service_call, session, stream};
 
-/// Answers callers.
+/// Handler for requests of callers.
 pub struct CallerApi {
-    /// The box.
     pub node: Arc<Node>,
 }
 
-/// A request that has been read whole.
+/// A request whose head and body have been read.
 #[derive(Debug, Clone)]
-pub struct Parsed {
-    /// The method.
+pub struct ParsedRequest {
     pub method: String,
-    /// Path and query.
     pub path_and_query: String,
-    /// Headers.
     pub headers: Vec<Header>,
-    /// The body.
     pub body: Vec<u8>,
 }
 
-impl Parsed {
-    /// A header's value.
+impl ParsedRequest {
+    /// Value of a header, by its name without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         context::header(&self.headers, name)
     }
@@ -65,18 +60,18 @@
         }
     }
 
-    /// Answers a request. Returns how it ended, for the count.
+    /// Answers a request. Returns the outcome label for the request metric.
     fn answer(&self, incoming: Incoming) -> &'static str {
         let node = &self.node;
-        let entered = match node.enter() {
-            Ok(entered) => entered,
+        let in_progress = match node.enter() {
+            Ok(in_progress) => in_progress,
             Err(refusal) => return refuse(incoming, &refusal),
         };
-        let outcome = match read(incoming) {
-            Ok((parsed, incoming)) => answer_read(node, &parsed, incoming),
+        let outcome = match read_request(incoming) {
+            Ok((parsed, incoming)) => answer_parsed(node, &parsed, incoming),
             Err(failure) => refuse(failure.1, &failure.0),
         };
-        drop(entered);
+        drop(in_progress);
         outcome
     }
 }
@@ -88,12 +83,12 @@
 
 type ReadFailure = (Refusal, Incoming);
 
-fn read(mut incoming: Incoming) -> Result<(Parsed, Incoming), Box<ReadFailure>> {
+fn read_request(mut incoming: Incoming) -> Result<(ParsedRequest, Incoming), Box<ReadFailure>> {
     let body = incoming.check_head().and_then(|()| incoming.read_body());
     match body {
         Err(refusal) => Err(Box::new((refusal, incoming))),
         Ok(body) => {
-            let parsed = Parsed {
+            let parsed = ParsedRequest {
                 method: incoming.method().to_owned(),
                 path_and_query: incoming.path_and_query().to_owned(),
                 headers: incoming.headers(),
@@ -104,45 +99,45 @@
     }
 }
 
-fn answer_read(node: &Node, parsed: &Parsed, incoming: Incoming) -> &'static str {
+fn answer_parsed(node: &Node, parsed: &ParsedRequest, incoming: Incoming) -> &'static str {
     if parsed.is_chat()
         && let Ok(request) = ChatRequest::from_slice(&parsed.body)
         && request.stream
     {
         match Context::new(node, &parsed.headers) {
-            Ok(context) if !context.marks.at_most_once => {
+            Ok(context) if !context.options.at_most_once => {
                 return stream::answer(&context, &request, incoming);
             }
             Ok(_) => {}
             Err(refusal) => return refuse(incoming, &refusal),
         }
     }
-    let (reply, outcome) = respond_counted(node, parsed);
+    let (reply, outcome) = respond_with_outcome(node, parsed);
     match incoming.reply(reply) {
         Ok(()) => outcome,
         Err(_) => "caller_gone",
     }
 }
 
-/// Answers a request that has been read, as a whole.
-pub fn respond(node: &Node, parsed: &Parsed) -> Reply {
-    respond_counted(node, parsed).0
+/// Answers a request without streaming.
+pub fn respond(node: &Node, parsed: &ParsedRequest) -> Reply {
+    respond_with_outcome(node, parsed).0
 }
 
-fn respond_counted(node: &Node, parsed: &Parsed) -> (Reply, &'static str) {
-    match respond_or_refuse(node, parsed) {
+fn respond_with_outcome(node: &Node, parsed: &ParsedRequest) -> (Reply, &'static str) {
+    match try_respond(node, parsed) {
         Ok(reply) => (reply, "ok"),
         Err(refusal) => (Reply::from(&refusal), refusal.code.as_str()),
     }
 }
 
-fn respond_or_refuse(node: &Node, parsed: &Parsed) -> Result<Reply, Refusal> {
+fn try_respond(node: &Node, parsed: &ParsedRequest) -> Result<Reply, Refusal> {
     let context = Context::new(node, &parsed.headers)?;
     match (parsed.method.as_str(), parsed.path()) {
         ("POST", "/v1/chat/completions") => {
             let request = ChatRequest::from_slice(&parsed.body)?;
             let run = || chat::answer(&context, &request);
-            once_or_more(&context, parsed, run)
+            run_request(&context, parsed, run)
         }
         ("GET", "/v1/models") => {
             let ids = route::model_ids(&context.current.config, &context.workspace);
@@ -151,18 +146,19 @@
         ("POST", "/v1/sessions") => session::open(&context),
         (_, path) if path.starts_with(service_call::PATH_PREFIX) => {
             let run = || service_call::answer(&context, parsed);
-            once_or_more(&context, parsed, run)
+            run_request(&context, parsed, run)
         }
         _ => Err(Refusal::not_run(Code::NotFound, "no such path")),
     }
 }
 
-fn once_or_more(
+/// Runs a request, at most once if the caller asks for that.
+fn run_request(
     context: &Context<'_>,
-    parsed: &Parsed,
+    parsed: &ParsedRequest,
     run: impl FnOnce() -> Result<Reply, Refusal>,
 ) -> Result<Reply, Refusal> {
-    if context.marks.at_most_once {
+    if context.options.at_most_once {
         forward::at_most_once(context, parsed, run)
     } else {
         run()
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -1,4 +1,4 @@
-//! A request with all that decides about it: who calls, in which session, until when.
+//! The context of a request: caller, session, options and deadline.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -16,99 +16,98 @@
 use crate::node::Node;
 use crate::once::{self, Claimed};
 
-/// A request in progress.
+/// Context of a request in progress.
 pub struct Context<'a> {
-    /// The box.
     pub node: &'a Node,
-    /// The configuration when the request came.
+    /// Configuration at the time the request arrived.
     pub current: Arc<Current>,
     /// The caller's workspace.
     pub workspace: Name,
-    /// What the caller said in headers.
-    pub marks: Marks,
-    /// The session, if there is one.
+    /// Options that the caller set in headers.
+    pub options: Marks,
+    /// Session of the request, if it names one.
     pub session: Option<Session>,
-    /// The request's key: the caller's, or one that no other request has.
+    /// Idempotency key: the caller's, or a generated unique one.
     pub key: Name,
-    /// Class of request, with the workspace.
+    /// Workspace and request class, under which quality is recorded.
     pub class: Name,
-    /// When its answer is of no use any more, by this box's clock.
+    /// Deadline of the answer, in milliseconds on this box's clock.
     pub deadline_ms: u64,
-    /// Whether its claim is in the store, or need not be.
+    /// Whether the key has been claimed or needs no claim.
     claimed: Cell<bool>,
-    /// Whether something may have left for an upstream.
+    /// Whether the request may have been sent to an upstream.
     sent: Cell<bool>,
-    /// Who holds the key's claim, if that is somebody else.
-    taken_by: RefCell<Option<Incarnation>>,
+    /// Holder of the key's claim, if another request holds it.
+    claim_holder: RefCell<Option<Incarnation>>,
 }
 
-/// A header's value among many.
+/// Value of the first header named `name`, without regard to case.
 pub fn header<'h>(headers: &'h [Header], name: &str) -> Option<&'h str> {
     let found = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
     found.map(|h| h.value.as_str())
 }
 
 impl<'a> Context<'a> {
-    /// Reads the headers of a request.
+    /// Parses the headers of a request and authenticates the caller.
     ///
     /// # Errors
     ///
-    /// A refusal for a bad header, key or session.
+    /// Returns a refusal for a malformed header, an unknown caller key or an invalid session.
     pub fn new(node: &'a Node, headers: &[Header]) -> Result<Self, Refusal> {
-        let marks = Marks::from_headers(|name| header(headers, name))?;
+        let options = Marks::from_headers(|name| header(headers, name))?;
         let current = node.current();
-        let workspace = authenticate(&current, &marks)?;
-        let session = match &marks.session {
+        let workspace = authenticate(&current, &options)?;
+        let session = match &options.session {
             None => None,
-            Some(token) => Some(open_session(&current, token, &workspace)?),
+            Some(token) => Some(verify_session(&current, token, &workspace)?),
         };
-        if marks.at_most_once && marks.request_key.is_none() {
-            let text = "Idempotency-Key: expected with X-Ivyweir-Repeatable: no";
+        if options.at_most_once && options.request_key.is_none() {
+            let text = "Idempotency-Key: required with X-Ivyweir-Repeatable: no";
             return Err(Refusal::not_run(Code::KeyRequired, text));
         }
-        let given = marks.request_key.as_deref().map(Name::from);
-        let key = given.unwrap_or_else(|| node.unique());
+        let request_key = options.request_key.as_deref().map(Name::from);
+        let key = request_key.unwrap_or_else(|| node.unique());
         let arrived_ms = node.clock.now_ms();
         Ok(Self {
-            class: class_name(&workspace, &marks.class),
-            deadline_ms: arrived_ms + marks.deadline_ms,
-            claimed: Cell::new(!marks.at_most_once),
+            class: class_name(&workspace, &options.class),
+            deadline_ms: arrived_ms + options.deadline_ms,
+            claimed: Cell::new(!options.at_most_once),
             sent: Cell::new(false),
-            taken_by: RefCell::new(None),
+            claim_holder: RefCell::new(None),
             node,
             current,
             workspace,
-            marks,
+            options,
             session,
             key,
         })
     }
 
-    /// What decides the side of every roll-out.
+    /// Nonce that determines the side of every roll-out split: the session's, or else the key.
     pub fn nonce(&self) -> &str {
         self.session.as_ref().map_or(&self.key, |s| &s.nonce)
     }
 
-    /// Time left.
-    pub fn left_ms(&self) -> u64 {
+    /// Time remaining until the deadline, in milliseconds.
+    pub fn remaining_ms(&self) -> u64 {
         self.deadline_ms.saturating_sub(self.node.clock.now_ms())
     }
 
-    /// Now, with what choices need.
-    pub fn moment(&self) -> FleetSnapshot {
+    /// Current time and fleet size, for dispatch decisions.
+    pub fn fleet_snapshot(&self) -> FleetSnapshot {
         FleetSnapshot {
             now_ms: self.node.clock.now_ms(),
             live_boxes: self.node.live_boxes(),
         }
     }
 
-    /// The workspace's weight.
+    /// Weight of the workspace in fair scheduling.
     pub fn weight(&self) -> u32 {
         let workspace = self.current.config.workspaces.get(&self.workspace);
         workspace.map_or(1, |w| w.weight)
     }
 
-    /// The box that answers for this request's key, if it runs at most once.
+    /// The box incarnation that is the authority for this request's key, if it runs at most once.
     pub fn opener(&self) -> Incarnation {
         match &self.session {
             None => self.node.opener(),
@@ -119,96 +118,103 @@
         }
     }
 
-    /// Checks, on the configuration of now, that the workspace may send new work to `at`.
+    /// Checks against the latest configuration, not that of arrival, that the workspace may send
+    /// new requests to `version`.
     ///
     /// # Errors
     ///
-    /// A refusal that says why not.
-    pub fn check_permitted(&self, at: &VersionRef) -> Result<(), Refusal> {
-        if self.node.current().config.permits(&self.workspace, at) {
+    /// Returns a refusal if the version is withdrawn or not allowed.
+    pub fn check_permitted(&self, version: &VersionRef) -> Result<(), Refusal> {
+        if self.node.current().config.permits(&self.workspace, version) {
             return Ok(());
         }
-        let text = format!("{at} is withdrawn or no longer allowed");
-        Err(self.refuse(Refusal::not_run(Code::VersionWithdrawn, text)))
+        let text = format!("{version} is withdrawn or no longer allowed");
+        Err(self.adjust_refusal(Refusal::not_run(Code::VersionWithdrawn, text)))
     }
 
-    /// To be called just before anything leaves for an upstream.
+    /// Claims the key if necessary and marks the request as sent. Must be called immediately
+    /// before anything is sent to an upstream.
     ///
     /// # Errors
     ///
-    /// A refusal when the request must not run.
-    pub fn before_send(&self) -> Result<(), Refusal> {
+    /// Returns a refusal if the request must not run.
+    pub fn prepare_send(&self) -> Result<(), Refusal> {
         if !self.claimed.get() {
             self.claim()?;
             self.claimed.set(true);
         }
         assert!(
-            !self.marks.at_most_once || !self.sent.get(),
-            "invariant: a request that is not repeatable is sent once"
+            !self.options.at_most_once || !self.sent.get(),
+            "invariant: a request that must run at most once is sent only once"
         );
         self.sent.set(true);
         Ok(())
     }
 
-    /// To be called when it is certain that the upstream did not take the request.
-    pub fn nothing_ran(&self) {
-        if self.marks.at_most_once {
+    /// Marks the request as not run. Must be called only if the upstream certainly did not accept
+    /// it.
+    pub fn mark_not_run(&self) {
+        if self.options.at_most_once {
             self.sent.set(false);
         }
     }
 
-    /// Whether something may have run.
+    /// Whether an upstream may have run the request.
     pub fn may_have_run(&self) -> bool {
         self.sent.get()
     }
 
-    /// The refusal as it must be told: "not run" only if nothing may have run.
-    pub fn refuse(&self, refusal: Refusal) -> Refusal {
+    /// Turns "not run" into "unknown" in a refusal if an upstream may have run the request.
+    pub fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         if !self.sent.get() {
             return refusal;
         }
         Refusal::unknown(refusal.code, refusal.message)
     }
 
-    /// Who holds the key's claim, if that turned out to be somebody else.
+    /// Holder of the key's claim, if the claim failed because another request holds it.
     pub fn claim_holder(&self) -> Option<Incarnation> {
-        self.taken_by.borrow().clone()
+        self.claim_holder.borrow().clone()
     }
 
     fn claim(&self) -> Result<(), Refusal> {
         if self.session.is_some() && self.node.sight() != Freshness::Fresh {
-            // The store is out, and the session's authority is enough.
+            // The store is unavailable; the session's authority ensures at-most-once execution.
             return Ok(());
         }
         let nonce: Name = match &self.session {
-            // The same for a repeat in the same session, whichever box holds the authority.
+            // Stable within the session, so that a repeat claims the same key again, whichever box
+            // is the authority.
             Some(session) => format!("s/{}", session.nonce).into(),
             None => self.node.unique(),
         };
         match once::claim_key(self.node, &self.workspace, &self.key, &nonce) {
             Claimed::Granted => Ok(()),
             Claimed::Taken(holder) => {
-                let text = format!("the key was used at {}", holder.box_name);
-                self.taken_by.replace(Some(holder));
+                let text = format!(
+                    "the idempotency key was already used on box {}",
+                    holder.box_name
+                );
+                self.claim_holder.replace(Some(holder));
                 Err(Refusal::unknown(Code::Duplicate, text))
             }
-            // The session's authority is enough while the store is out.
+            // While the store is unavailable, the session's authority is sufficient.
             Claimed::NotWritten if self.session.is_some() => Ok(()),
             Claimed::NotWritten => {
                 let text =
-                    "the claim could not be written; use a session to go on without the store";
+                    "the claim could not be written; use a session to continue without the store";
                 let refusal = Refusal::not_run(Code::ClaimUnavailable, text);
-                Err(refusal.with_retry_after(CLAIM_HINT_MS))
+                Err(refusal.with_retry_after(CLAIM_RETRY_AFTER_MS))
             }
         }
     }
 }
 
-const CLAIM_HINT_MS: u64 = 2_000;
+const CLAIM_RETRY_AFTER_MS: u64 = 2_000;
 
-fn authenticate(current: &Current, marks: &Marks) -> Result<Name, Refusal> {
+fn authenticate(current: &Current, options: &Marks) -> Result<Name, Refusal> {
     let unauthenticated = |text| Refusal::not_run(Code::Unauthenticated, text);
-    let key = marks
+    let key = options
         .caller_key
         .as_deref()
         .ok_or_else(|| unauthenticated("Authorization: expected Bearer and a workspace key"))?;
@@ -219,7 +225,7 @@
         .ok_or_else(|| unauthenticated("Authorization: no workspace has this key"))
 }
 
-fn open_session(current: &Current, token: &str, workspace: &str) -> Result<Session, Refusal> {
+fn verify_session(current: &Current, token: &str, workspace: &str) -> Result<Session, Refusal> {
     let keys = &current.config.session_keys;
     Session::from_signed_token(token, keys, workspace, Clock::epoch_ms()).map_err(|e| {
         let code = match e.kind() {
--- a/crates/ivyweird/src/engine_call.rs
+++ b/crates/ivyweird/src/engine_call.rs
@@ -47,7 +47,7 @@
         tried: attempts.upstreams.clone(),
         workspace: context.workspace.clone(),
         weight: context.weight(),
-        priority: context.marks.priority,
+        priority: context.options.priority,
         deadline_ms: context.deadline_ms,
         random: rand::random(),
     }
@@ -69,13 +69,13 @@
 ) -> Result<Reservation<'c>, Refusal> {
     let node = context.node;
     let request = dispatch_request(context, version, prefix, attempts);
-    let acquired = node.gate.acquire(request, context.moment());
-    let reservation = acquired.map_err(|refusal| context.refuse(refusal))?;
+    let acquired = node.gate.acquire(request, context.fleet_snapshot());
+    let reservation = acquired.map_err(|refusal| context.adjust_refusal(refusal))?;
     let checked = context
         .check_permitted(version)
-        .and_then(|()| context.before_send());
+        .and_then(|()| context.prepare_send());
     if let Err(refusal) = checked {
-        reservation.finish(true, None, context.moment());
+        reservation.finish(true, None, context.fleet_snapshot());
         return Err(refusal);
     }
     if attempts.upstreams.is_empty() {
@@ -88,13 +88,13 @@
 /// Whether to retry a failed call on another upstream. If so, takes one retry from the budget.
 pub fn should_retry(context: &Context<'_>, error: &CallError, attempts: &Attempts) -> bool {
     if !error.may_have_run {
-        context.nothing_ran();
+        context.mark_not_run();
     }
-    let repeatable = !context.marks.at_most_once || !error.may_have_run;
+    let repeatable = !context.options.at_most_once || !error.may_have_run;
     let allowed = repeatable
         && error.is_retryable()
         && attempts.upstreams.len() < MAX_ATTEMPTS
-        && context.left_ms() > 0
+        && context.remaining_ms() > 0
         && context.node.gate.take_retry();
     if allowed {
         context.node.metrics.retries.add(1, &[]);
@@ -107,10 +107,10 @@
     let code = match error.fault {
         Fault::TimedOut => Code::DeadlinePassed,
         Fault::Truncated | Fault::Mismatched => Code::UpstreamTruncated,
-        _ if context.marks.at_most_once && error.may_have_run => Code::OutcomeUnknown,
+        _ if context.options.at_most_once && error.may_have_run => Code::OutcomeUnknown,
         _ => Code::UpstreamFailed,
     };
-    context.refuse(Refusal::not_run(code, format!("upstream: {error}")))
+    context.adjust_refusal(Refusal::not_run(code, format!("upstream: {error}")))
 }
 
 /// Records the outcome of a call in the metrics and in the quality statistics of the version.
@@ -163,14 +163,14 @@
     loop {
         let reservation = reserve_upstream(context, version, prefix, &mut attempts)?;
         let completion = completion(context, request, version).with_logprobs();
-        let timeout = Duration::from_millis(context.left_ms().max(1));
+        let timeout = Duration::from_millis(context.remaining_ms().max(1));
         let called = context
             .node
             .engine
             .complete(&reservation.upstream.addr, &completion, timeout);
         let mut observation = observation(context, version, &reservation);
         let fault = called.as_ref().err().map(|e| e.fault);
-        reservation.finish(is_upstream_success(fault), None, context.moment());
+        reservation.finish(is_upstream_success(fault), None, context.fleet_snapshot());
         match called {
             Ok(answer) => {
                 observation.bucket =
@@ -195,8 +195,8 @@
 
 /// Whether a call counts as a success of its upstream.
 ///
-/// Rejected and timed-out calls do: a rejected request is not the upstream's fault, and a call times
-/// out at the caller's deadline.
+/// Rejected and timed-out calls do: a rejected request is not the upstream's fault, and a call
+/// times out at the caller's deadline.
 pub fn is_upstream_success(fault: Option<Fault>) -> bool {
     matches!(fault, None | Some(Fault::Rejected | Fault::TimedOut))
 }
@@ -227,7 +227,7 @@
     let id = context.node.unique();
     let mut body = request.body.clone();
     // Engines serve lower values first; callers give higher values to more urgent requests.
-    body.insert("priority".into(), (9 - context.marks.priority).into());
+    body.insert("priority".into(), (9 - context.options.priority).into());
     Completion::new(version.to_string(), id.as_ref(), body)
 }
 
--- a/crates/ivyweird/src/forward.rs
+++ b/crates/ivyweird/src/forward.rs
@@ -1,4 +1,4 @@
-//! Requests that another box holds the authority for.
+//! At-most-once requests, and forwarding them to the box that is the authority for their session.
 
 use std::time::Duration;
 
@@ -7,69 +7,69 @@
 use ivyweir_policy::claim::{Incarnation, Journal};
 use ivyweir_policy::{Code, Refusal};
 
-use crate::caller_api::{self, Parsed};
+use crate::caller_api::{self, ParsedRequest};
 use crate::context::Context;
 use crate::node::Node;
 use crate::once::Permit;
 use crate::spread;
 
-/// Says that a request was forwarded; a second forward is refused.
-const FORWARDED: &str = "X-Ivyweir-Forwarded";
+/// Header that marks a forwarded request. A forwarded request is not forwarded again.
+const FORWARDED_HEADER: &str = "X-Ivyweir-Forwarded";
 
-/// Runs a request at most once: here, or at the box that answers for its session.
+/// Runs a request at most once, on this box or on the authority for its session.
 pub fn at_most_once(
     context: &Context<'_>,
-    parsed: &Parsed,
+    parsed: &ParsedRequest,
     run: impl FnOnce() -> Result<Reply, Refusal>,
 ) -> Result<Reply, Refusal> {
     let node = context.node;
     let opener = context.opener();
-    let entry = Journal::entry_name(&context.workspace, &context.key);
-    let mine = opener == node.opener();
-    let permit = node.once.begin(&opener, &entry);
+    let entry_name = Journal::entry_name(&context.workspace, &context.key);
+    let is_local = opener == node.opener();
+    let permit = node.once.begin(&opener, &entry_name);
     match permit {
-        Permit::Run => run_and_keep(context, &entry, run),
+        Permit::Run => run_and_store(context, &entry_name, run),
         Permit::Kept(reply) => Ok(reply),
-        Permit::Elsewhere(successor) => send(context, parsed, &successor),
-        Permit::Refused(refusal) if mine => Err(refusal),
+        Permit::Elsewhere(successor) => forward_to(context, parsed, &successor),
+        Permit::Refused(refusal) if is_local => Err(refusal),
         Permit::Refused(refusal) if refusal.code == Code::SessionLost => {
-            let holder = holder(node, &opener).ok_or(refusal)?;
-            send(context, parsed, &holder)
+            let authority = session_authority(node, &opener).ok_or(refusal)?;
+            forward_to(context, parsed, &authority)
         }
         Permit::Refused(refusal) => Err(refusal),
     }
 }
 
-fn run_and_keep(
+fn run_and_store(
     context: &Context<'_>,
-    entry: &ivyweir_policy::Name,
+    entry_name: &ivyweir_policy::Name,
     run: impl FnOnce() -> Result<Reply, Refusal>,
 ) -> Result<Reply, Refusal> {
     let once = &context.node.once;
     let outcome = run();
     match &outcome {
-        Ok(reply) => once.finish(entry, reply),
-        Err(_) if context.may_have_run() => once.lose(entry),
+        Ok(reply) => once.finish(entry_name, reply),
+        Err(_) if context.may_have_run() => once.lose(entry_name),
         Err(refusal) if refusal.code == Code::Duplicate => {
-            once.release(entry);
-            if let Some(reply) = kept_elsewhere(context) {
+            once.release(entry_name);
+            if let Some(reply) = fetch_stored_reply(context) {
                 return Ok(reply);
             }
         }
-        Err(_) => once.release(entry),
+        Err(_) => once.release(entry_name),
     }
     outcome
 }
 
-/// The answer of a key that another box ran, if that box still keeps it.
-fn kept_elsewhere(context: &Context<'_>) -> Option<Reply> {
+/// Fetches the stored answer of a key from the box that holds its claim, if it still has one.
+fn fetch_stored_reply(context: &Context<'_>) -> Option<Reply> {
     let request = pb::OutcomeRequest {
         workspace: context.workspace.to_string(),
         key: context.key.to_string(),
     };
-    let others = context.node.serving();
+    let members = context.node.serving();
     let holder = context.claim_holder()?;
-    let holder = others.iter().find(|m| m.name == holder.box_name)?;
+    let holder = members.iter().find(|m| m.name == holder.box_name)?;
     let reply = context
         .node
         .peers
@@ -82,8 +82,10 @@
     })
 }
 
-/// Who answers for the sessions of `opener` now: itself, or whoever took over.
-fn holder(node: &Node, opener: &Incarnation) -> Option<Incarnation> {
+/// The current authority for the sessions of `opener`: itself or its successor.
+///
+/// Returns `None` if the member is unknown or has another incarnation.
+fn session_authority(node: &Node, opener: &Incarnation) -> Option<Incarnation> {
     let record = node.member(&opener.box_name)?;
     if record.incarnation != opener.number {
         return None;
@@ -94,17 +96,21 @@
     Some(successor.unwrap_or_else(|| opener.clone()))
 }
 
-/// Sends the request to `holder` and gives its answer.
-fn send(context: &Context<'_>, parsed: &Parsed, holder: &Incarnation) -> Result<Reply, Refusal> {
+/// Forwards the request to `authority` and returns its answer.
+fn forward_to(
+    context: &Context<'_>,
+    parsed: &ParsedRequest,
+    authority: &Incarnation,
+) -> Result<Reply, Refusal> {
     let lost = || Refusal::unknown(Code::SessionLost, "the box that opened the session is gone");
-    if *holder == context.node.opener() || parsed.header(FORWARDED).is_some() {
+    if *authority == context.node.opener() || parsed.header(FORWARDED_HEADER).is_some() {
         return Err(lost());
     }
-    let addr = spread::authority_addr(context.node, &holder.box_name, holder.number);
+    let addr = spread::authority_addr(context.node, &authority.box_name, authority.number);
     let addr = addr.ok_or_else(lost)?;
-    let mut headers: Vec<pb::Header> = parsed.headers.iter().map(header_out).collect();
+    let mut headers: Vec<pb::Header> = parsed.headers.iter().map(to_peer_header).collect();
     headers.push(pb::Header {
-        name: FORWARDED.into(),
+        name: FORWARDED_HEADER.into(),
         value: context.node.me.box_name.to_string(),
     });
     let request = pb::ForwardRequest {
@@ -112,14 +118,14 @@
         path: parsed.path_and_query.clone(),
         headers,
         body: parsed.body.clone(),
-        for_box: holder.box_name.to_string(),
-        for_incarnation: holder.number,
+        for_box: authority.box_name.to_string(),
+        for_incarnation: authority.number,
     };
-    let timeout = Duration::from_millis(context.left_ms().max(1));
+    let timeout = Duration::from_millis(context.remaining_ms().max(1));
     match context.node.peers.forward(&addr, request, timeout) {
         Ok(reply) => Ok(Reply {
             status: reply.http_status as u16,
-            headers: reply.headers.into_iter().map(header_in).collect(),
+            headers: reply.headers.into_iter().map(from_peer_header).collect(),
             body: reply.body,
         }),
         Err(e) if e.certainly_not_received() => {
@@ -129,39 +135,40 @@
     }
 }
 
-/// Answers a request that a peer forwarded; none if it is for another incarnation.
+/// Answers a request forwarded by a peer. Returns `None` if it is for another incarnation.
 pub fn answer(node: &Node, request: pb::ForwardRequest) -> Option<pb::ForwardReply> {
-    let for_me =
+    let is_for_this_box =
         request.for_box == node.me.box_name.as_ref() && request.for_incarnation == node.me.number;
-    if !for_me {
+    if !is_for_this_box {
         return None;
     }
-    // Counted, so that a planned stop waits for it; a stopping box still tells what it kept.
-    let entered = node.enter_forwarded();
-    let parsed = Parsed {
+    // Counted as in progress, so that a planned stop waits for it. It is accepted while the box is
+    // stopping, because the box can still return stored answers.
+    let in_progress = node.enter_forwarded();
+    let parsed = ParsedRequest {
         method: request.method,
         path_and_query: request.path,
-        headers: request.headers.into_iter().map(header_in).collect(),
+        headers: request.headers.into_iter().map(from_peer_header).collect(),
         body: request.body,
     };
-    let reply = match &entered {
+    let reply = match &in_progress {
         Ok(_in_progress) => caller_api::respond(node, &parsed),
         Err(refusal) => Reply::from(refusal),
     };
     Some(pb::ForwardReply {
         http_status: u32::from(reply.status),
-        headers: reply.headers.iter().map(header_out).collect(),
+        headers: reply.headers.iter().map(to_peer_header).collect(),
         body: reply.body,
     })
 }
 
-fn header_out(header: &Header) -> pb::Header {
+fn to_peer_header(header: &Header) -> pb::Header {
     pb::Header {
         name: header.name.clone(),
         value: header.value.clone(),
     }
 }
 
-fn header_in(header: pb::Header) -> Header {
+fn from_peer_header(header: pb::Header) -> Header {
     Header::new(header.name, header.value)
 }
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::{Code, Name, PoolKind, Refusal};
 use ivyweir_service::CallError;
 
-use crate::caller_api::Parsed;
+use crate::caller_api::ParsedRequest;
 use crate::context::Context;
 use crate::dispatcher::DispatchRequest;
 use crate::engine_call;
@@ -39,7 +39,7 @@
 /// # Errors
 ///
 /// Returns a refusal if the call was not answered or could not be billed.
-pub fn answer(context: &Context<'_>, parsed: &Parsed) -> Result<Reply, Refusal> {
+pub fn answer(context: &Context<'_>, parsed: &ParsedRequest) -> Result<Reply, Refusal> {
     let not_found = || Refusal::not_run(Code::NotFound, "no service pool in the path");
     let (pool, path) = split_path(&parsed.path_and_query).ok_or_else(not_found)?;
     check_allowed(context, pool)?;
@@ -91,22 +91,23 @@
     let node = context.node;
     let mut tried: Vec<Name> = Vec::new();
     loop {
-        let acquired = node
-            .gate
-            .acquire(dispatch_request(context, pool, &tried), context.moment());
-        let reservation = acquired.map_err(|refusal| context.refuse(refusal))?;
-        let checked = check_allowed(context, pool).and_then(|()| context.before_send());
+        let acquired = node.gate.acquire(
+            dispatch_request(context, pool, &tried),
+            context.fleet_snapshot(),
+        );
+        let reservation = acquired.map_err(|refusal| context.adjust_refusal(refusal))?;
+        let checked = check_allowed(context, pool).and_then(|()| context.prepare_send());
         if let Err(refusal) = checked {
-            reservation.finish(true, None, context.moment());
+            reservation.finish(true, None, context.fleet_snapshot());
             return Err(refusal);
         }
         if tried.is_empty() {
             node.gate.count_first_attempt();
         }
         tried.push(reservation.upstream.name.clone());
-        let timeout = Duration::from_millis(context.left_ms().max(1));
+        let timeout = Duration::from_millis(context.remaining_ms().max(1));
         let called = node.service.call(&reservation.upstream.addr, call, timeout);
-        reservation.finish(called.is_ok(), None, context.moment());
+        reservation.finish(called.is_ok(), None, context.fleet_snapshot());
         node.metrics
             .upstream_call(pool, if called.is_ok() { "ok" } else { "failed" });
         match called {
@@ -126,14 +127,14 @@
         tried: tried.to_vec(),
         workspace: context.workspace.clone(),
         weight: context.weight(),
-        priority: context.marks.priority,
+        priority: context.options.priority,
         deadline_ms: context.deadline_ms,
         random: rand::random(),
     }
 }
 
-/// Whether to retry a failed call: it did not run, or the request is safe to repeat. If so, takes one
-/// retry from the budget.
+/// Whether to retry a failed call, because it did not run or the request is safe to repeat. If so,
+/// takes one retry from the budget.
 ///
 /// A request is safe to repeat if its method is idempotent or the caller sent a request key, unless
 /// the caller asked for at most one execution.
@@ -144,17 +145,17 @@
     tried: &[Name],
 ) -> bool {
     if !error.may_have_run {
-        context.nothing_ran();
+        context.mark_not_run();
     }
     let is_idempotent_method = matches!(
         call.method.as_str(),
         "GET" | "HEAD" | "OPTIONS" | "PUT" | "DELETE"
     );
-    let repeatable = !context.marks.at_most_once
-        && (is_idempotent_method || context.marks.request_key.is_some());
+    let repeatable = !context.options.at_most_once
+        && (is_idempotent_method || context.options.request_key.is_some());
     let allowed = (repeatable || !error.may_have_run)
         && tried.len() < engine_call::MAX_ATTEMPTS
-        && context.left_ms() > 0
+        && context.remaining_ms() > 0
         && context.node.gate.take_retry();
     if allowed {
         context.node.metrics.retries.add(1, &[]);
@@ -163,14 +164,14 @@
 }
 
 fn refusal(context: &Context<'_>, error: &CallError) -> Refusal {
-    let code = if context.left_ms() == 0 {
+    let code = if context.remaining_ms() == 0 {
         Code::DeadlinePassed
     } else if error.may_have_run {
         Code::OutcomeUnknown
     } else {
         Code::UpstreamFailed
     };
-    context.refuse(Refusal::not_run(code, format!("service: {error}")))
+    context.adjust_refusal(Refusal::not_run(code, format!("service: {error}")))
 }
 
 /// The caller's headers without its ivyweir credentials and without headers that address ivyweir.
