--- a/crates/ivyweird/src/dispatcher.rs
+++ b/crates/ivyweird/src/dispatcher.rs
@@ -70,11 +70,11 @@
 impl DispatchRequest {
     /// Name of the queue for this request. Requests in one queue compete for the same upstreams.
     fn queue_name(&self) -> Name {
-        let none: Name = "".into();
+        let empty: Name = "".into();
         self.version
             .clone()
             .or_else(|| self.pool.clone())
-            .unwrap_or(none)
+            .unwrap_or(empty)
     }
 
     fn requirements<'a>(
--- a/crates/ivyweird/src/route.rs
+++ b/crates/ivyweird/src/route.rs
@@ -147,8 +147,8 @@
         .iter()
         .filter(is_permitted)
         .find(|version| !is_bad(context, version));
-    let any = by_preference.iter().find(is_permitted);
-    Some(healthy.or(any).cloned().unwrap_or(split))
+    let permitted = by_preference.iter().find(is_permitted);
+    Some(healthy.or(permitted).cloned().unwrap_or(split))
 }
 
 /// Whether the guard is on and the version is currently judged bad.
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -41,12 +41,12 @@
 /// Returns a refusal if the call was not answered or could not be billed.
 pub fn answer(context: &Context<'_>, parsed: &ParsedRequest) -> Result<Reply, Refusal> {
     let not_found = || Refusal::not_run(Code::NotFound, "no service pool in the path");
-    let (pool, path) = split_path(&parsed.path_and_query).ok_or_else(not_found)?;
+    let (pool, service_path) = split_path(&parsed.path_and_query).ok_or_else(not_found)?;
     check_allowed(context, pool)?;
     context.node.ledger.check_room()?;
     let call = ivyweir_service::Call {
         method: parsed.method.clone(),
-        path_and_query: path,
+        path_and_query: service_path,
         headers: forwarded_headers(&parsed.headers),
         body: parsed.body.clone(),
     };
@@ -61,8 +61,8 @@
 }
 
 fn check_allowed(context: &Context<'_>, pool: &str) -> Result<(), Refusal> {
-    let config = context.node.current();
-    let is_service = config
+    let current = context.node.current();
+    let is_service = current
         .config
         .pools
         .get(pool)
@@ -73,7 +73,7 @@
             format!("no service pool named {pool}"),
         ));
     }
-    let workspace = config.config.workspaces.get(&context.workspace);
+    let workspace = current.config.workspaces.get(&context.workspace);
     if workspace.is_some_and(|w| w.services.iter().any(|s| s.as_ref() == pool)) {
         return Ok(());
     }
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -41,9 +41,9 @@
 
 /// Answers a request with a stream. Returns the outcome label for the request metric.
 pub fn answer(context: &Context<'_>, request: &ChatRequest, incoming: Incoming) -> &'static str {
-    let found = route::find(context, request);
-    let ready = found.and_then(|route| context.node.ledger.check_room().map(|()| route));
-    match ready {
+    let route = route::find(context, request);
+    let route = route.and_then(|route| context.node.ledger.check_room().map(|()| route));
+    match route {
         Ok(route) => ChatStream::new(context, request, &route, incoming).run(),
         Err(refusal) => {
             let _caller_gone = incoming.reply(Reply::from(&refusal));
