--- a/crates/ivyweir-gateway/src/admit.rs
+++ b/crates/ivyweir-gateway/src/admit.rs
@@ -13,10 +13,10 @@
 use serde_json::json;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::dialect::Envelope;
+use crate::dialect::RequestMetadata;
+use crate::error_response::ErrorReason;
 use crate::job::{self, Job};
 use crate::log::Trace;
-use crate::refusal::Reason;
 use crate::state::Gateway;
 
 /// Time for a body to arrive where the caller names none.
@@ -36,22 +36,22 @@
     body: Incoming,
     arrived_ms: u64,
     trace: &mut Trace,
-) -> Result<Job, Reason> {
+) -> Result<Job, ErrorReason> {
     // The body is read before any answer: a connection with unread bytes is reset when it closes.
     let body = read_body(body, gateway.site().as_deref()).await?;
     if is_past_notice(gateway) {
-        return Err(Reason::Stopping);
+        return Err(ErrorReason::Stopping);
     }
     let site = site_once_synced(gateway).await?;
-    let host = host_of(&head).ok_or(Reason::BadRequest)?;
+    let host = host_of(&head).ok_or(ErrorReason::BadRequest)?;
     let route = site
         .route(host, head.uri.path())
-        .ok_or_else(|| deny(gateway, Reason::NoRoute))?
+        .ok_or_else(|| deny(gateway, ErrorReason::NoRoute))?
         .clone();
-    let envelope = gateway.dialect.envelope(&head.headers);
+    let envelope = gateway.dialect.request_metadata(&head.headers);
     let workspace = workspace_of(gateway, &site, &route, &envelope)?;
     let seed = job::seed_of(&envelope);
-    let pool = route.pool(seed).ok_or(Reason::NoUpstream)?.clone();
+    let pool = route.pool(seed).ok_or(ErrorReason::NoUpstream)?.clone();
     let side = gateway.side(&pool, envelope.session, seed);
     let budget_ms = envelope.budget_ms.unwrap_or(route.timeout_ms);
     let deadline_ms = arrived_ms + budget_ms.min(route.timeout_ms);
@@ -88,7 +88,7 @@
 
 /// The configuration; a box that has just started soon knows it, and that it is the newest, so a
 /// request waits for that.
-async fn site_once_synced(gateway: &Gateway) -> Result<Arc<SiteIndex>, Reason> {
+async fn site_once_synced(gateway: &Gateway) -> Result<Arc<SiteIndex>, ErrorReason> {
     let waits = || !gateway.is_synced() || gateway.is_starting();
     if waits() {
         let until = Instant::now() + START_WAIT;
@@ -101,11 +101,11 @@
 }
 
 /// Why a box that knows no configuration refuses.
-fn unknown_site(gateway: &Gateway) -> Reason {
+fn unknown_site(gateway: &Gateway) -> ErrorReason {
     if gateway.peers.is_young() {
-        Reason::Starting
+        ErrorReason::Starting
     } else {
-        Reason::NotCurrent
+        ErrorReason::NotCurrent
     }
 }
 
@@ -114,22 +114,22 @@
     gateway: &Gateway,
     site: &SiteIndex,
     route: &Route,
-    envelope: &Envelope,
-) -> Result<Option<Arc<Workspace>>, Reason> {
+    envelope: &RequestMetadata,
+) -> Result<Option<Arc<Workspace>>, ErrorReason> {
     match site.access(route, envelope.key.as_deref()) {
         Access::Anonymous => Ok(None),
-        Access::Denied => Err(deny(gateway, Reason::NoAccess)),
-        Access::Workspace(_) if !gateway.may_serve_keys() => Err(Reason::NotCurrent),
+        Access::Denied => Err(deny(gateway, ErrorReason::NoAccess)),
+        Access::Workspace(_) if !gateway.may_serve_keys() => Err(ErrorReason::NotCurrent),
         Access::Workspace(workspace) => Ok(Some(workspace)),
     }
 }
 
 /// A refusal of what does not exist, as far as this box may say so.
-fn deny(gateway: &Gateway, reason: Reason) -> Reason {
+fn deny(gateway: &Gateway, reason: ErrorReason) -> ErrorReason {
     if gateway.may_deny() {
         reason
     } else {
-        Reason::NotCurrent
+        ErrorReason::NotCurrent
     }
 }
 
@@ -139,15 +139,15 @@
     stopping_ms.is_some_and(|ms| ms > STOP_NOTICE_MS)
 }
 
-async fn read_body(body: Incoming, site: Option<&SiteIndex>) -> Result<Bytes, Reason> {
+async fn read_body(body: Incoming, site: Option<&SiteIndex>) -> Result<Bytes, ErrorReason> {
     let limits = site.and_then(|site| site.site().limits);
     let max_bytes = limits.map_or(BODY_DEFAULT_BYTES, |l| l.max_body_bytes);
     let gathered = timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
     match gathered {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Reason::TooLarge),
-        Ok(Err(_)) => Err(Reason::BadRequest),
-        Err(_) => Err(Reason::BodyLate),
+        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(ErrorReason::TooLarge),
+        Ok(Err(_)) => Err(ErrorReason::BadRequest),
+        Err(_) => Err(ErrorReason::BodyLate),
     }
 }
 
--- a/crates/ivyweir-gateway/src/adopt.rs
+++ b/crates/ivyweir-gateway/src/adopt.rs
@@ -11,7 +11,7 @@
 use ivyweir_policy::gateway::statement::Source;
 use serde_json::json;
 
-use crate::dialect::{Change, Entry, Item, Topic};
+use crate::dialect::{Change, RecordResult, StoreRecord, Topic};
 use crate::history::PassedChange;
 use crate::state::Gateway;
 
@@ -30,7 +30,7 @@
     topic: Topic,
     revision: Revision,
     kind: ListingKind,
-    entries: Vec<Entry>,
+    entries: Vec<RecordResult>,
 ) {
     adopt_entries(gateway, topic, revision, kind, entries);
     gateway.histories.restart(topic, revision);
@@ -41,12 +41,15 @@
     topic: Topic,
     revision: Revision,
     kind: ListingKind,
-    entries: Vec<Entry>,
+    entries: Vec<RecordResult>,
 ) {
     let listed = entries.len();
     let items = readable_entries(gateway, topic, entries);
     if topic == Topic::Upstreams {
-        let records: Vec<UpstreamRecord> = items.into_iter().filter_map(Item::upstream).collect();
+        let records: Vec<UpstreamRecord> = items
+            .into_iter()
+            .filter_map(StoreRecord::upstream)
+            .collect();
         gateway.change_upstream(Source::Record, |fleet, now_ms| match kind {
             ListingKind::Complete => fleet.replace_all(records, now_ms),
             ListingKind::Incomplete => fleet.merge(records, now_ms),
@@ -63,20 +66,24 @@
 }
 
 /// Forgets roll-outs and drained halls that a whole listing lacks: they were withdrawn unheard.
-fn remove_all_but(gateway: &Gateway, topic: Topic, listed: &[Item]) {
+fn remove_all_but(gateway: &Gateway, topic: Topic, listed: &[StoreRecord]) {
     let known: Vec<Name> = match topic {
         Topic::Rollouts => gateway.with_rollouts(|rollouts, _| rollouts.keys().cloned().collect()),
         Topic::DrainedHalls => gateway.drained_halls(),
         Topic::Site | Topic::Upstreams => return,
     };
-    let listed: HashSet<&Name> = listed.iter().filter_map(Item::name).collect();
+    let listed: HashSet<&Name> = listed.iter().filter_map(StoreRecord::name).collect();
     for name in known.iter().filter(|name| !listed.contains(name)) {
         remove(gateway, topic, name);
     }
 }
 
 /// The records that can be read; the others are those of a whole listing.
-fn readable_entries(gateway: &Gateway, topic: Topic, entries: Vec<Entry>) -> Vec<Item> {
+fn readable_entries(
+    gateway: &Gateway,
+    topic: Topic,
+    entries: Vec<RecordResult>,
+) -> Vec<StoreRecord> {
     let mut items = Vec::new();
     let mut unreadable = Vec::new();
     for entry in entries {
@@ -106,7 +113,7 @@
             gateway.note_unreadable(topic, e);
             name.map(PassedChange::Gone)
         }
-        Change::Gone(name) => {
+        Change::Removed(name) => {
             gateway.note_readable(topic, Some(&name));
             Some(PassedChange::Gone(name))
         }
@@ -131,15 +138,17 @@
     gateway.histories.push(topic, revision, changes, records);
 }
 
-fn adopt_item(gateway: &Gateway, revision: Revision, item: Item) {
+fn adopt_item(gateway: &Gateway, revision: Revision, item: StoreRecord) {
     match item {
-        Item::Site(site) => adopt_site(gateway, revision, *site),
-        Item::Upstream(record) => gateway.change_upstream(Source::Record, |fleet, now_ms| {
-            let id = record.id.clone();
-            vec![(id, fleet.put(record, now_ms))]
-        }),
-        Item::Rollout(order) => adopt_rollout(gateway, order),
-        Item::DrainedHall(hall) => gateway.drain_hall(hall),
+        StoreRecord::Site(site) => adopt_site(gateway, revision, *site),
+        StoreRecord::Upstream(record) => {
+            gateway.change_upstream(Source::Record, |fleet, now_ms| {
+                let id = record.id.clone();
+                vec![(id, fleet.put(record, now_ms))]
+            })
+        }
+        StoreRecord::Rollout(order) => adopt_rollout(gateway, order),
+        StoreRecord::DrainedHall(hall) => gateway.drain_hall(hall),
     }
 }
 
--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use crate::channel::{Channel, SendError, keep_time_ms};
-use crate::dialect::{AnswerMarks, Forward};
+use crate::dialect::{ForwardMetadata, ResponseMetadata};
 use crate::ends;
 use crate::job::Job;
 use crate::log::Trace;
@@ -140,7 +140,7 @@
     /// Status, headers and the body to come.
     pub response: Response<Incoming>,
     /// What the upstream says of it.
-    pub marks: AnswerMarks,
+    pub marks: ResponseMetadata,
     /// The upstream and its connection.
     pub lease: Lease,
     /// How long its connection may be kept afterwards.
@@ -302,7 +302,9 @@
 ) -> Sent {
     let status = response.status().as_u16();
     gateway.note_unread(&lease.upstream.id, response.headers());
-    let marks = gateway.dialect.answer(status, response.headers());
+    let marks = gateway
+        .dialect
+        .response_metadata(status, response.headers());
     let keep_ms = keep_time_ms(response.headers());
     let is_framed = is_framed(response.headers());
     lease.read();
@@ -361,7 +363,7 @@
 }
 
 /// Whether an answer is the upstream's own to this request.
-fn belongs(job: &Job, marks: &AnswerMarks, status: u16) -> bool {
+fn belongs(job: &Job, marks: &ResponseMetadata, status: u16) -> bool {
     let is_success = (200..300).contains(&status);
     marks.request_id == job.envelope.request_id && (marks.is_signed || !is_success)
 }
@@ -373,9 +375,9 @@
     upstream: &'a UpstreamRecord,
     sending: Sending,
     estimate: Estimate,
-) -> Forward<'a> {
+) -> ForwardMetadata<'a> {
     let left_ms = job.deadline_ms.saturating_sub(gateway.clock.now_ms());
-    Forward {
+    ForwardMetadata {
         upstream_name: upstream.name(),
         budget_ms: left_ms.max(1),
         workspace: job.workspace.as_ref().map(|w| &*w.name),
--- a/crates/ivyweir-gateway/src/client.rs
+++ b/crates/ivyweir-gateway/src/client.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 use crate::channel::{Channel, SendError};
-use crate::dialect::DialectError;
+use crate::dialect::DecodeError;
 
 /// Time for the store to answer, beyond what it was asked to wait. A slow store takes some hundred
 /// milliseconds.
@@ -66,7 +66,7 @@
     }
 
     /// Its answer does not have the form expected.
-    pub fn unreadable(error: DialectError) -> Self {
+    pub fn unreadable(error: DecodeError) -> Self {
         Self::Unreadable {
             detail: error.to_string(),
         }
--- a/crates/ivyweir-gateway/src/clock.rs
+++ b/crates/ivyweir-gateway/src/clock.rs
@@ -39,11 +39,11 @@
 impl Clock {
     /// A clock that starts now, on the machine's time since it booted.
     pub fn start() -> Self {
-        Self::start_on(Arc::new(SinceBoot))
+        Self::with_source(Arc::new(SinceBoot))
     }
 
     /// A clock that starts now, on this source.
-    pub fn start_on(source: Arc<dyn TimeSource>) -> Self {
+    pub fn with_source(source: Arc<dyn TimeSource>) -> Self {
         let started = source.elapsed();
         Self { source, started }
     }
@@ -78,14 +78,14 @@
 
 /// Notices that the machine was suspended: this clock went on, and the runtime's stood still.
 #[derive(Debug)]
-pub struct Suspension {
+pub struct SuspensionDetector {
     clock_ms: u64,
     runtime: tokio::time::Instant,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// Notices suspensions from now on.
-    pub fn watch(clock: &Clock) -> Self {
+    pub fn start(clock: &Clock) -> Self {
         Self {
             clock_ms: clock.now_ms(),
             runtime: tokio::time::Instant::now(),
@@ -93,8 +93,8 @@
     }
 
     /// How long the machine was suspended since the last look, if it was.
-    pub fn look(&mut self, clock: &Clock) -> Option<u64> {
-        let before = std::mem::replace(self, Self::watch(clock));
+    pub fn poll(&mut self, clock: &Clock) -> Option<u64> {
+        let before = std::mem::replace(self, Self::start(clock));
         let ran_ms = self.runtime.duration_since(before.runtime).as_millis() as u64;
         let suspended_ms = (self.clock_ms - before.clock_ms).saturating_sub(ran_ms);
         (suspended_ms >= SUSPENDED_MS).then_some(suspended_ms)
--- a/crates/ivyweir-gateway/src/dialect.rs
+++ b/crates/ivyweir-gateway/src/dialect.rs
@@ -31,7 +31,7 @@
 
 /// What a caller says of its request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Envelope {
+pub struct RequestMetadata {
     /// Id of this try.
     pub request_id: Option<Name>,
     /// Time for which the caller waits.
@@ -39,11 +39,11 @@
     /// The caller's key.
     pub key: Option<Name>,
     /// Whether the caller leaves the model to the system.
-    pub any_model: bool,
+    pub auto_model: bool,
     /// Tokens that the caller expects to come out, by its guess or else by its limit.
-    pub out_tokens: Option<u32>,
+    pub expected_output_tokens: Option<u32>,
     /// Parts of the prompt in order; the last belongs to this request or its session.
-    pub parts: Vec<PromptPart>,
+    pub prompt_parts: Vec<PromptPart>,
     /// The event behind which the caller wants a stream to go on.
     pub last_event_id: Option<u64>,
     /// Hash of the session, if there is one.
@@ -52,7 +52,7 @@
 
 /// What the system says of a request that it sends on.
 #[derive(Debug, Clone, Copy)]
-pub struct Forward<'a> {
+pub struct ForwardMetadata<'a> {
     /// The upstream that is to run it; any other refuses.
     pub upstream_name: &'a str,
     /// What is left of the caller's time.
@@ -69,7 +69,7 @@
 
 /// What an upstream says of its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerMarks {
+pub struct ResponseMetadata {
     /// Id of the request that it answers.
     pub request_id: Option<Name>,
     /// Whether it carries the upstream's signature.
@@ -84,7 +84,7 @@
     pub confidence: Option<u8>,
 }
 
-impl Default for AnswerMarks {
+impl Default for ResponseMetadata {
     /// An answer that says nothing.
     fn default() -> Self {
         Self {
@@ -98,7 +98,7 @@
     }
 }
 
-impl AnswerMarks {
+impl ResponseMetadata {
     /// Requests that the upstream ran when it answered; 0 where it does not tell.
     pub fn running(&self) -> u32 {
         self.statement.load.map_or(0, |load| load.running)
@@ -106,7 +106,7 @@
 
     /// Requests that waited at the upstream when it answered, for each that it ran; 0 where it does not
     /// tell.
-    pub fn queue(&self) -> f64 {
+    pub fn waiting_per_running(&self) -> f64 {
         self.statement.load.map_or(0.0, |load| {
             f64::from(load.waiting) / f64::from(load.running.max(1))
         })
@@ -156,7 +156,7 @@
 /// A record of the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Item {
+pub enum StoreRecord {
     /// A configuration.
     Site(Box<SiteConfig>),
     /// An upstream.
@@ -167,7 +167,7 @@
     DrainedHall(Name),
 }
 
-impl Item {
+impl StoreRecord {
     /// The name of its record, where there may be several of its kind.
     pub fn name(&self) -> Option<&Name> {
         match self {
@@ -198,51 +198,54 @@
 
 /// What is wrong with a record: it may come from another writer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
+pub enum RecordFault {
     /// It has no name.
-    Unnamed,
+    MissingName,
     /// A field is missing or of another type, or it is no object.
-    Form,
+    Malformed,
     /// Its address is none.
-    Address,
+    InvalidAddress,
     /// Its state is none that is known.
-    State,
+    UnknownState,
     /// The time of its start is no whole number of milliseconds.
-    Start,
+    InvalidStartTime,
 }
 
-impl Fault {
+impl RecordFault {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Unnamed => "unnamed",
-            Self::Form => "form",
-            Self::Address => "address",
-            Self::State => "state",
-            Self::Start => "start",
+            Self::MissingName => "unnamed",
+            Self::Malformed => "form",
+            Self::InvalidAddress => "address",
+            Self::UnknownState => "state",
+            Self::InvalidStartTime => "start",
         }
     }
 }
 
 /// Bytes of a text that says what is wrong with a record: the record itself may have hundreds of kilobytes.
-const DETAIL_BYTES: usize = 160;
+const MAX_DETAIL_BYTES: usize = 160;
 
 /// A record that cannot be read. What it was before it was written over counts no more.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct InvalidRecord {
     /// Its name, where it has one.
     pub name: Option<Name>,
     /// What is wrong with it.
-    pub fault: Fault,
+    pub fault: RecordFault,
     /// More of that.
     pub detail: String,
 }
 
-impl Unreadable {
+impl InvalidRecord {
     /// A record of this name, and what is wrong with it; a long detail is cut.
-    pub fn new(name: Option<Name>, fault: Fault, detail: impl fmt::Display) -> Self {
+    pub fn new(name: Option<Name>, fault: RecordFault, detail: impl fmt::Display) -> Self {
         let mut detail = detail.to_string();
-        if let Some((end, _)) = detail.char_indices().find(|(at, _)| *at >= DETAIL_BYTES) {
+        if let Some((end, _)) = detail
+            .char_indices()
+            .find(|(at, _)| *at >= MAX_DETAIL_BYTES)
+        {
             detail.truncate(end);
         }
         Self {
@@ -254,16 +257,16 @@
 }
 
 /// A record, or why it cannot be read.
-pub type Entry = std::result::Result<Item, Unreadable>;
+pub type RecordResult = std::result::Result<StoreRecord, InvalidRecord>;
 
 /// A quarantined request that is kept, or why it cannot be read.
-pub type QuarantineEntry = std::result::Result<QuarantineRecord, DialectError>;
+pub type QuarantineEntry = std::result::Result<QuarantineRecord, DecodeError>;
 
 /// A page of a listing.
 #[derive(Debug)]
 pub struct Page {
     /// The records.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<RecordResult>,
     /// Where the next page starts, if there is one.
     pub next_after: Option<String>,
     /// The store's revision when it answered.
@@ -274,9 +277,9 @@
 #[derive(Debug)]
 pub enum Change {
     /// A record was written.
-    Put(Entry),
+    Put(RecordResult),
     /// The record of this name is gone.
-    Gone(Name),
+    Removed(Name),
 }
 
 impl Change {
@@ -285,7 +288,7 @@
     pub fn with_era(self, era: u64) -> Self {
         match self {
             Self::Put(entry) => Self::Put(entry.map(|item| item.with_era(era))),
-            Self::Gone(name) => Self::Gone(name),
+            Self::Removed(name) => Self::Removed(name),
         }
     }
 }
@@ -301,11 +304,11 @@
 
 /// A message that cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DialectError {
+pub struct DecodeError {
     detail: String,
 }
 
-impl DialectError {
+impl DecodeError {
     /// `detail` says which message, and what was expected.
     pub fn new(detail: impl Into<String>) -> Self {
         Self {
@@ -314,13 +317,13 @@
     }
 }
 
-impl fmt::Display for DialectError {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.detail)
     }
 }
 
-impl std::error::Error for DialectError {}
+impl std::error::Error for DecodeError {}
 
 /// Names on requests and answers.
 pub trait Dialect: Send + Sync {
@@ -328,26 +331,26 @@
     fn ready_path(&self) -> &str;
 
     /// Reads what a caller says.
-    fn envelope(&self, headers: &HeaderMap) -> Envelope;
+    fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// Removes what only the system may say, and the caller's key.
-    fn strip(&self, headers: &mut HeaderMap);
+    fn strip_reserved_headers(&self, headers: &mut HeaderMap);
 
     /// Adds what the system says.
-    fn mark(&self, headers: &mut HeaderMap, forward: &Forward);
+    fn add_forward_headers(&self, headers: &mut HeaderMap, forward: &ForwardMetadata);
 
     /// Reads what an upstream says.
-    fn answer(&self, status: u16, headers: &HeaderMap) -> AnswerMarks;
+    fn response_metadata(&self, status: u16, headers: &HeaderMap) -> ResponseMetadata;
 
-    /// Names on an answer that are the dialect's by their form, and that [`answer`](Self::answer) does not read.
-    fn unread<'h>(&self, headers: &'h HeaderMap) -> Vec<&'h HeaderName>;
+    /// Names on an answer that are the dialect's by their form, and that [`answer`](Self::response_metadata) does not read.
+    fn unread_headers<'h>(&self, headers: &'h HeaderMap) -> Vec<&'h HeaderName>;
 }
 
 /// The store's messages.
 pub trait StoreCodec: Send + Sync {
     /// Reads the number of times the store has been restored from a backup from the headers of an
     /// answer; `None` if they contain no valid number.
-    fn era(&self, headers: &HeaderMap) -> Option<u64>;
+    fn store_era(&self, headers: &HeaderMap) -> Option<u64>;
 
     /// Asks for a page of records.
     fn list(&self, topic: Topic, after: Option<&str>) -> Request<Bytes>;
@@ -362,10 +365,10 @@
     fn list_quarantines(&self) -> Request<Bytes>;
 
     /// Keeps a quarantined request, unless it is kept already.
-    fn keep_quarantine(&self, record: &QuarantineRecord) -> Request<Bytes>;
+    fn create_quarantine(&self, record: &QuarantineRecord) -> Request<Bytes>;
 
     /// Keeps it no longer.
-    fn drop_quarantine(&self, fingerprint: Fingerprint) -> Request<Bytes>;
+    fn delete_quarantine(&self, fingerprint: Fingerprint) -> Request<Bytes>;
 
     /// Asks who holds the duties.
     fn read_duties(&self) -> Request<Bytes>;
@@ -378,35 +381,35 @@
     /// # Errors
     ///
     /// When the body is no such record.
-    fn duties(&self, body: &[u8]) -> Result<StoredDuties, DialectError>;
+    fn decode_duties(&self, body: &[u8]) -> Result<StoredDuties, DecodeError>;
 
     /// Reads the quarantined requests that are kept; one that cannot be read is an error of its own.
     ///
     /// # Errors
     ///
     /// When the body is no list of them.
-    fn quarantines(&self, body: &[u8]) -> Result<Vec<QuarantineEntry>, DialectError>;
+    fn decode_quarantines(&self, body: &[u8]) -> Result<Vec<QuarantineEntry>, DecodeError>;
 
     /// Reads a page.
     ///
     /// # Errors
     ///
     /// When the body is no page.
-    fn page(&self, topic: Topic, body: &[u8]) -> Result<Page, DialectError>;
+    fn decode_page(&self, topic: Topic, body: &[u8]) -> Result<Page, DecodeError>;
 
     /// Reads what a watch saw.
     ///
     /// # Errors
     ///
     /// When the body is no answer to a watch.
-    fn changes(&self, topic: Topic, body: &[u8]) -> Result<Changes, DialectError>;
+    fn decode_changes(&self, topic: Topic, body: &[u8]) -> Result<Changes, DecodeError>;
 
     /// Reads a roll-out's record as it stands after a write, or in place of one.
     ///
     /// # Errors
     ///
     /// When the body is no such record.
-    fn rollout(&self, body: &[u8]) -> Result<RolloutOrder, DialectError>;
+    fn decode_rollout(&self, body: &[u8]) -> Result<RolloutOrder, DecodeError>;
 }
 
 /// Who makes a duty's call.
--- a/crates/ivyweir-gateway/src/drive.rs
+++ b/crates/ivyweir-gateway/src/drive.rs
@@ -124,7 +124,7 @@
         StatusCode::CONFLICT => "conflict",
         status => return Err(format!("status {}", status.as_u16())),
     };
-    let now = gateway.codec.rollout(&answer.body);
+    let now = gateway.codec.decode_rollout(&answer.body);
     let mut now = now.map_err(|e| e.to_string())?;
     now.era = answer.era;
     adopt_rollout(gateway, now);
--- a/crates/ivyweir-gateway/src/duties.rs
+++ b/crates/ivyweir-gateway/src/duties.rs
@@ -161,7 +161,7 @@
             return Vec::new();
         };
         let gateway = &self.gateway;
-        let windows = usage.terms().windows_to_fix(
+        let windows = usage.schedule().windows_to_fix(
             gateway.fixed_usage_window(),
             gateway.first_usage_window(),
             hearing_ms,
@@ -202,7 +202,7 @@
         let answer = answer?;
         let stored = match answer.status {
             StatusCode::OK | StatusCode::CREATED | StatusCode::CONFLICT => {
-                let stored = self.gateway.codec.duties(&answer.body);
+                let stored = self.gateway.codec.decode_duties(&answer.body);
                 Some(stored.map_err(CallError::unreadable)?)
             }
             StatusCode::NOT_FOUND => None,
--- a/crates/ivyweir-gateway/src/refusal.rs
+++ b/crates/ivyweir-gateway/src/error_response.rs
@@ -7,7 +7,7 @@
 
 /// Why the gateway itself answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum ErrorReason {
     /// The request's head or body breaks a limit or cannot be read.
     BadRequest,
     /// The body is larger than allowed.
@@ -33,7 +33,7 @@
     /// All upstreams that could take the request want nothing from this box for now.
     AllBackingOff {
         /// Time after which the caller should come back.
-        come_back_ms: u64,
+        retry_after_ms: u64,
     },
     /// Upstreams ended under earlier tries of the request; it is sent no more.
     Quarantined,
@@ -46,22 +46,22 @@
 }
 
 /// Time after which a refused caller should come back.
-const COME_BACK_MS: u64 = 250;
+const RETRY_AFTER_MS: u64 = 250;
 /// The same where the box itself leaves or lags: another box may take the request at once.
-const COME_BACK_ELSEWHERE_MS: u64 = 50;
+const RETRY_AFTER_OTHER_BOX_MS: u64 = 50;
 /// The same where all boxes started a moment ago: they know their configuration within half a second
 /// of the first answer, and callers honour a third of a second and a half at most.
-const COME_BACK_STARTED_MS: u64 = 480;
+const RETRY_AFTER_STARTUP_MS: u64 = 480;
 
 /// The same where all halls are drained: operators take that back after seconds at the soonest.
-const COME_BACK_DRAINED_MS: u64 = 1_000;
+const RETRY_AFTER_DRAINED_MS: u64 = 1_000;
 /// The same where all upstreams are cold. What one bears is counted by the second; a caller comes back on
 /// another connection, so perhaps at a box that has not used its part.
-const COME_BACK_COLD_MS: u64 = 600;
+const RETRY_AFTER_COLD_MS: u64 = 600;
 /// The same for a request that is sent no more: it helps nobody to come back before an operator has looked.
-const COME_BACK_QUARANTINED_MS: u64 = 60_000;
+const RETRY_AFTER_QUARANTINED_MS: u64 = 60_000;
 
-impl Reason {
+impl ErrorReason {
     /// The status: 503, 429 and 408 are said only where the request did not run.
     pub fn status(self) -> StatusCode {
         match self {
@@ -106,26 +106,26 @@
         }
     }
 
-    fn come_back_ms(self) -> Option<u64> {
+    fn retry_after_ms(self) -> Option<u64> {
         match self {
-            Self::NotCurrent | Self::Stopping => Some(COME_BACK_ELSEWHERE_MS),
-            Self::Starting => Some(COME_BACK_STARTED_MS),
-            Self::NoUpstream | Self::LateNotRun => Some(COME_BACK_MS),
-            Self::HallsDrained => Some(COME_BACK_DRAINED_MS),
-            Self::AllCold => Some(COME_BACK_COLD_MS),
-            Self::AllBackingOff { come_back_ms } => Some(come_back_ms),
-            Self::Quarantined => Some(COME_BACK_QUARANTINED_MS),
+            Self::NotCurrent | Self::Stopping => Some(RETRY_AFTER_OTHER_BOX_MS),
+            Self::Starting => Some(RETRY_AFTER_STARTUP_MS),
+            Self::NoUpstream | Self::LateNotRun => Some(RETRY_AFTER_MS),
+            Self::HallsDrained => Some(RETRY_AFTER_DRAINED_MS),
+            Self::AllCold => Some(RETRY_AFTER_COLD_MS),
+            Self::AllBackingOff { retry_after_ms } => Some(retry_after_ms),
+            Self::Quarantined => Some(RETRY_AFTER_QUARANTINED_MS),
             _ => None,
         }
     }
 
     /// The answer; `close` asks the caller for a new connection.
-    pub fn into_answer(self, close: bool) -> Response<AnswerBody> {
+    pub fn into_response(self, close: bool) -> Response<AnswerBody> {
         let body = Bytes::from(format!("{{\"code\":\"{}\"}}\n", self.name()));
         let mut answer = Response::builder()
             .status(self.status())
             .header(header::CONTENT_TYPE, "application/json");
-        if let Some(ms) = self.come_back_ms() {
+        if let Some(ms) = self.retry_after_ms() {
             answer = answer.header(header::RETRY_AFTER, format!("{:.3}", ms as f64 / 1_000.0));
         }
         if close || self == Self::Stopping {
--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use crate::answer::{AnswerBody, bare, message};
-use crate::dialect::{Item, Topic};
+use crate::dialect::{StoreRecord, Topic};
 use crate::history::{Asker, Behind, NoSource, PassedChange};
 use crate::state::Gateway;
 
@@ -81,7 +81,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum Whole {
     /// The records.
-    Here(Vec<Item>),
+    Here(Vec<StoreRecord>),
     /// Another box gives them: this one gives them to several boxes already.
     At(SocketAddr),
 }
--- a/crates/ivyweir-gateway/src/gather.rs
+++ b/crates/ivyweir-gateway/src/gather.rs
@@ -11,9 +11,9 @@
 
 use crate::answer::{AnswerBody, whole};
 use crate::attempt::Reply;
+use crate::error_response::ErrorReason;
 use crate::job::{Job, strip_hop_by_hop};
 use crate::log::Trace;
-use crate::refusal::Reason;
 use crate::state::Gateway;
 
 /// Largest answer that is gathered before it is passed on.
@@ -78,7 +78,7 @@
     }
     // Only an upstream's own word makes 429, 503 and the like true; it was heard before.
     if promises_not_run(head.status.as_u16()) {
-        return Ok(Reason::AnswerLost.into_answer(false));
+        return Ok(ErrorReason::AnswerLost.into_response(false));
     }
     Ok(Response::from_parts(head, whole(bytes)))
 }
--- a/crates/ivyweir-gateway/src/headers.rs
+++ b/crates/ivyweir-gateway/src/headers.rs
@@ -10,7 +10,7 @@
 };
 use ivyweir_policy::hash::hash64;
 
-use crate::dialect::{AnswerMarks, Dialect, Envelope, Forward, PromptPart};
+use crate::dialect::{Dialect, ForwardMetadata, PromptPart, RequestMetadata, ResponseMetadata};
 
 /// Header names of a dialect.
 #[derive(Debug, Clone)]
@@ -84,24 +84,24 @@
         self.names.ready_path
     }
 
-    fn envelope(&self, headers: &HeaderMap) -> Envelope {
+    fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata {
         let names = &self.names;
         let session = text(headers, &names.session);
-        Envelope {
+        RequestMetadata {
             request_id: text(headers, &names.request_id).map(Name::from),
             budget_ms: text(headers, &names.budget_ms).and_then(whole_ms),
             key: text(headers, &header::AUTHORIZATION)
                 .and_then(|value| value.strip_prefix(BEARER))
                 .map(Name::from),
-            any_model: text(headers, &names.model) == Some(ANY_MODEL),
-            out_tokens: self.out_tokens(headers),
-            parts: text(headers, &names.prompt_parts).map_or_else(Vec::new, prompt_parts),
+            auto_model: text(headers, &names.model) == Some(ANY_MODEL),
+            expected_output_tokens: self.expected_output_tokens(headers),
+            prompt_parts: text(headers, &names.prompt_parts).map_or_else(Vec::new, prompt_parts),
             last_event_id: text(headers, &LAST_EVENT_ID).and_then(|id| id.parse().ok()),
             session: session.map(|session| hash64(&[session.as_bytes()])),
         }
     }
 
-    fn strip(&self, headers: &mut HeaderMap) {
+    fn strip_reserved_headers(&self, headers: &mut HeaderMap) {
         let names = &self.names;
         for name in [
             &names.workspace,
@@ -117,7 +117,7 @@
         headers.remove(header::AUTHORIZATION);
     }
 
-    fn mark(&self, headers: &mut HeaderMap, forward: &Forward) {
+    fn add_forward_headers(&self, headers: &mut HeaderMap, forward: &ForwardMetadata) {
         let names = &self.names;
         headers.insert(&names.budget_ms, HeaderValue::from(forward.budget_ms));
         set(headers, &names.upstream_id, Some(forward.upstream_name));
@@ -131,9 +131,9 @@
         }
     }
 
-    fn answer(&self, status: u16, headers: &HeaderMap) -> AnswerMarks {
+    fn response_metadata(&self, status: u16, headers: &HeaderMap) -> ResponseMetadata {
         let names = &self.names;
-        AnswerMarks {
+        ResponseMetadata {
             request_id: text(headers, &names.request_id).map(Name::from),
             is_signed: headers.contains_key(&names.signature),
             not_run: headers.contains_key(&names.not_run),
@@ -151,7 +151,7 @@
         }
     }
 
-    fn unread<'h>(&self, headers: &'h HeaderMap) -> Vec<&'h HeaderName> {
+    fn unread_headers<'h>(&self, headers: &'h HeaderMap) -> Vec<&'h HeaderName> {
         let names = &self.names;
         let is_own = |name: &&HeaderName| {
             let mut prefixes = names.prefixes.iter();
@@ -180,7 +180,7 @@
 
 impl HeaderDialect {
     /// The caller's guess, or else the limit behind the comma of `PROMPT,MOST_OUT`.
-    fn out_tokens(&self, headers: &HeaderMap) -> Option<u32> {
+    fn expected_output_tokens(&self, headers: &HeaderMap) -> Option<u32> {
         let guess = text(headers, &self.names.out_guess).and_then(|value| value.parse().ok());
         let limit = || {
             let (_, most) = text(headers, &self.names.token_counts)?.split_once(',')?;
--- a/crates/ivyweir-gateway/src/history.rs
+++ b/crates/ivyweir-gateway/src/history.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use crate::dialect::{Item, Topic};
+use crate::dialect::{StoreRecord, Topic};
 
 /// Changes of a topic that are kept at least, however few records it has.
 const CHANGES_KEPT: usize = 128;
@@ -25,7 +25,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum PassedChange {
     /// A record was written.
-    Put(Item),
+    Put(StoreRecord),
     /// The record of this name is gone.
     Gone(Name),
 }
--- a/crates/ivyweir-gateway/src/job.rs
+++ b/crates/ivyweir-gateway/src/job.rs
@@ -15,7 +15,7 @@
 use ivyweir_policy::gateway::work::{self, Estimate, Tokens};
 use ivyweir_policy::hash::{hash64, mix};
 
-use crate::dialect::{Dialect, Envelope, Forward, PromptPart};
+use crate::dialect::{Dialect, ForwardMetadata, PromptPart, RequestMetadata};
 use crate::settings::Settings;
 
 /// Headers that concern one connection only.
@@ -39,7 +39,7 @@
     /// The whole body.
     pub body: Bytes,
     /// What the caller says.
-    pub envelope: Envelope,
+    pub envelope: RequestMetadata,
     /// Its route.
     pub route: Arc<Route>,
     /// Its pool.
@@ -69,7 +69,7 @@
 
     /// Whether the system chooses the model.
     pub fn chooses_model(&self) -> bool {
-        self.envelope.any_model && !self.route.models.is_empty()
+        self.envelope.auto_model && !self.route.models.is_empty()
     }
 
     /// Answers that are alike: those of the same route and model.
@@ -112,26 +112,30 @@
 
     /// Its tokens, where the caller tells them.
     pub fn tokens(&self) -> Option<Tokens> {
-        let (own, shared) = self.envelope.parts.split_last()?;
+        let (own, shared) = self.envelope.prompt_parts.split_last()?;
         Some(Tokens {
             shared: shared.iter().map(|part| part.tokens).sum(),
             unique: own.tokens,
-            output: self.envelope.out_tokens.unwrap_or(0),
+            output: self.envelope.expected_output_tokens.unwrap_or(0),
         })
     }
 
     /// The request as it is sent to an upstream.
-    pub fn request(&self, dialect: &dyn Dialect, forward: &Forward) -> Request<Full<Bytes>> {
+    pub fn request(
+        &self,
+        dialect: &dyn Dialect,
+        forward: &ForwardMetadata,
+    ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
         *request.headers_mut() = self.head.headers.clone();
-        dialect.mark(request.headers_mut(), forward);
+        dialect.add_forward_headers(request.headers_mut(), forward);
         request
     }
 
     fn shared_parts(&self) -> &[PromptPart] {
-        match self.envelope.parts.split_last() {
+        match self.envelope.prompt_parts.split_last() {
             Some((_, shared)) => shared,
             None => &[],
         }
@@ -146,7 +150,7 @@
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     head.headers.remove(header::EXPECT);
-    dialect.strip(&mut head.headers);
+    dialect.strip_reserved_headers(&mut head.headers);
     head.extensions.clear();
     head
 }
@@ -172,7 +176,7 @@
 }
 
 /// A number that differs between requests, the same on all boxes.
-pub fn seed_of(envelope: &Envelope) -> u64 {
+pub fn seed_of(envelope: &RequestMetadata) -> u64 {
     match &envelope.request_id {
         Some(id) => hash64(&[id.as_bytes()]),
         None => rand::random(),
--- a/crates/ivyweir-gateway/src/judge.rs
+++ b/crates/ivyweir-gateway/src/judge.rs
@@ -24,7 +24,7 @@
             span: Span::Whole,
             age_ms: reply.head_after_ms,
             running: reply.marks.running(),
-            queue: reply.marks.queue(),
+            queue: reply.marks.waiting_per_running(),
         };
         weigh(gateway, job, &reply.lease.upstream, &evidence);
     }
--- a/crates/ivyweir-gateway/src/keep.rs
+++ b/crates/ivyweir-gateway/src/keep.rs
@@ -68,7 +68,7 @@
         let quarantined = self.gateway.quarantined();
         let released: Vec<Fingerprint> = self.kept.difference(&quarantined).copied().collect();
         for fingerprint in released {
-            let request = self.gateway.codec.drop_quarantine(fingerprint);
+            let request = self.gateway.codec.delete_quarantine(fingerprint);
             self.write(request, &[StatusCode::OK, StatusCode::NOT_FOUND])
                 .await?;
             self.kept.remove(&fingerprint);
@@ -116,7 +116,7 @@
 
     /// The records that can be read.
     fn read(&self, answer: &StoreAnswer) -> Result<Vec<QuarantineRecord>, CallError> {
-        let entries = self.gateway.codec.quarantines(&answer.body);
+        let entries = self.gateway.codec.decode_quarantines(&answer.body);
         let mut records = Vec::new();
         for entry in entries.map_err(CallError::unreadable)? {
             match entry {
@@ -138,7 +138,7 @@
         let Some(record) = self.gateway.quarantine_record(fingerprint) else {
             return Ok(());
         };
-        let request = self.gateway.codec.keep_quarantine(&record);
+        let request = self.gateway.codec.create_quarantine(&record);
         let written = [StatusCode::OK, StatusCode::CREATED, StatusCode::CONFLICT];
         self.write(request, &written).await?;
         self.kept.insert(fingerprint);
--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -28,6 +28,7 @@
 mod drive;
 mod duties;
 mod ends;
+mod error_response;
 mod follow;
 mod gather;
 pub mod headers;
@@ -42,7 +43,6 @@
 pub mod native;
 mod peers;
 mod pipeline;
-mod refusal;
 mod server;
 mod settings;
 pub mod settings_file;
@@ -68,7 +68,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use clock::{Clock, Suspension};
+use clock::{Clock, SuspensionDetector};
 use log::Log;
 use state::Gateway;
 
@@ -182,8 +182,8 @@
     tokio::spawn(server::serve_peers(gateway.clone(), listeners.peers));
     tokio::spawn(sweep(gateway.clone()));
     let (balancer, metrics) = (listeners.balancer, listeners.metrics);
-    tokio::spawn(server::serve_plain(balancer, answer_balancer(gateway)));
-    tokio::spawn(server::serve_plain(metrics, answer_metrics(gateway)));
+    tokio::spawn(server::serve_text(balancer, answer_balancer(gateway)));
+    tokio::spawn(server::serve_text(metrics, answer_metrics(gateway)));
     let callers = server::serve_callers(gateway.clone(), listeners.callers, stopped);
     tokio::spawn(callers)
 }
@@ -211,10 +211,10 @@
 /// Sweeps now and then, and tells when readiness changes.
 async fn sweep(gateway: Arc<Gateway>) {
     let mut was_ready = false;
-    let mut suspension = Suspension::watch(&gateway.clock);
+    let mut suspension = SuspensionDetector::start(&gateway.clock);
     loop {
         sleep(SWEEP).await;
-        if let Some(lasted_ms) = suspension.look(&gateway.clock) {
+        if let Some(lasted_ms) = suspension.poll(&gateway.clock) {
             gateway.woke(lasted_ms);
         }
         gateway.sweep();
@@ -249,7 +249,7 @@
     let gateway = gateway.clone();
     move |_| {
         let belief = |what: &str, value: u64| {
-            let gauge = gateway.metrics.beliefs.with_label_values(&[what]);
+            let gauge = gateway.metrics.state_gauges.with_label_values(&[what]);
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
         };
         let site = gateway.site();
--- a/crates/ivyweir-gateway/src/metrics.rs
+++ b/crates/ivyweir-gateway/src/metrics.rs
@@ -30,7 +30,7 @@
     /// Time to the head of the answer by route.
     pub head_latency: HistogramVec,
     /// What the box believes: configuration version, ready upstreams, proof age, log lines dropped.
-    pub beliefs: IntGaugeVec,
+    pub state_gauges: IntGaugeVec,
 }
 
 impl Default for Metrics {
@@ -87,7 +87,7 @@
         let opts = HistogramOpts::new("ivyweir_head_latency_s", "time to the head of an answer");
         let head_latency = HistogramVec::new(opts.buckets(LATENCY_BUCKETS_S.to_vec()), &["route"])
             .expect("invariant: the name is valid");
-        let beliefs = IntGaugeVec::new(
+        let state_gauges = IntGaugeVec::new(
             Opts::new("ivyweir_belief", "what the box believes"),
             &["what"],
         )
@@ -96,7 +96,7 @@
             .register(Box::new(head_latency.clone()))
             .expect("invariant: names differ");
         registry
-            .register(Box::new(beliefs.clone()))
+            .register(Box::new(state_gauges.clone()))
             .expect("invariant: names differ");
         Self {
             registry,
@@ -109,7 +109,7 @@
             store_calls,
             duty_calls,
             head_latency,
-            beliefs,
+            state_gauges,
         }
     }
 }
--- a/crates/ivyweir-gateway/src/native.rs
+++ b/crates/ivyweir-gateway/src/native.rs
@@ -13,8 +13,8 @@
 use serde_json::Value;
 
 use crate::dialect::{
-    Change, Changes, DialectError, DutyCodec, DutyHolder, Entry, Fault, Item, Page,
-    QuarantineEntry, StoreCodec, Topic, Unreadable,
+    Change, Changes, DecodeError, DutyCodec, DutyHolder, InvalidRecord, Page, QuarantineEntry,
+    RecordFault, RecordResult, StoreCodec, StoreRecord, Topic,
 };
 use crate::headers::{HeaderDialect, HeaderNames};
 
@@ -58,7 +58,7 @@
 
 /// The record of duties as the store answers it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct StoredRecord {
+pub struct StoredDutyRecord {
     /// The record.
     pub record: DutyRecord,
     /// Its revision.
@@ -67,9 +67,9 @@
 
 /// The gateway's own messages of duties.
 #[derive(Debug, Clone, Default)]
-pub struct NativeDuties;
+pub struct NativeDutyCodec;
 
-impl DutyCodec for NativeDuties {
+impl DutyCodec for NativeDutyCodec {
     fn report_usage(&self, holder: DutyHolder, report: &UsageReport) -> Request<Bytes> {
         duty_call("/v1/usage", holder, json(report))
     }
@@ -115,13 +115,13 @@
 #[serde(rename_all = "snake_case")]
 pub enum RecordChange {
     /// It was written.
-    Put(Item),
+    Put(StoreRecord),
     /// It is gone.
     Gone(Name),
 }
 
 impl StoreCodec for NativeCodec {
-    fn era(&self, headers: &HeaderMap) -> Option<u64> {
+    fn store_era(&self, headers: &HeaderMap) -> Option<u64> {
         headers.get(STORE_ERA)?.to_str().ok()?.parse().ok()
     }
 
@@ -150,12 +150,12 @@
         request(Method::GET, QUARANTINES.into(), Bytes::new())
     }
 
-    fn keep_quarantine(&self, record: &QuarantineRecord) -> Request<Bytes> {
+    fn create_quarantine(&self, record: &QuarantineRecord) -> Request<Bytes> {
         let path = format!("{QUARANTINES}/{}", record.fingerprint);
         request(Method::POST, path, json(record))
     }
 
-    fn drop_quarantine(&self, fingerprint: Fingerprint) -> Request<Bytes> {
+    fn delete_quarantine(&self, fingerprint: Fingerprint) -> Request<Bytes> {
         let path = format!("{QUARANTINES}/{fingerprint}");
         request(Method::DELETE, path, Bytes::new())
     }
@@ -174,20 +174,20 @@
         }
     }
 
-    fn duties(&self, body: &[u8]) -> Result<StoredDuties, DialectError> {
-        let stored: StoredRecord = read("duties", body)?;
+    fn decode_duties(&self, body: &[u8]) -> Result<StoredDuties, DecodeError> {
+        let stored: StoredDutyRecord = read("duties", body)?;
         Ok(StoredDuties {
             record: stored.record,
             revision: stored.revision,
         })
     }
 
-    fn quarantines(&self, body: &[u8]) -> Result<Vec<QuarantineEntry>, DialectError> {
+    fn decode_quarantines(&self, body: &[u8]) -> Result<Vec<QuarantineEntry>, DecodeError> {
         let records: Vec<QuarantineRecord> = read("quarantined requests", body)?;
         Ok(records.into_iter().map(Ok).collect())
     }
 
-    fn page(&self, _topic: Topic, body: &[u8]) -> Result<Page, DialectError> {
+    fn decode_page(&self, _topic: Topic, body: &[u8]) -> Result<Page, DecodeError> {
         let page: RecordPage = read("a page of records", body)?;
         Ok(Page {
             entries: page.records.into_iter().map(entry).collect(),
@@ -196,7 +196,7 @@
         })
     }
 
-    fn changes(&self, _topic: Topic, body: &[u8]) -> Result<Changes, DialectError> {
+    fn decode_changes(&self, _topic: Topic, body: &[u8]) -> Result<Changes, DecodeError> {
         let changes: RecordChanges = read("changes of records", body)?;
         let revision = changes.revision;
         let changes = changes.changes.into_iter().map(change);
@@ -206,15 +206,15 @@
         })
     }
 
-    fn rollout(&self, body: &[u8]) -> Result<RolloutOrder, DialectError> {
+    fn decode_rollout(&self, body: &[u8]) -> Result<RolloutOrder, DecodeError> {
         read("a roll-out", body)
     }
 }
 
 /// A record; one that cannot be read may tell its name beside.
-fn entry(record: Value) -> Entry {
+fn entry(record: Value) -> RecordResult {
     let name = record["name"].as_str().map(Name::from);
-    serde_json::from_value(record).map_err(|e| Unreadable::new(name, Fault::Form, e))
+    serde_json::from_value(record).map_err(|e| InvalidRecord::new(name, RecordFault::Malformed, e))
 }
 
 fn change(change: Value) -> Change {
@@ -224,8 +224,8 @@
         }
         other => match serde_json::from_value(other) {
             Ok(RecordChange::Put(item)) => Change::Put(Ok(item)),
-            Ok(RecordChange::Gone(name)) => Change::Gone(name),
-            Err(e) => Change::Put(Err(Unreadable::new(None, Fault::Form, e))),
+            Ok(RecordChange::Gone(name)) => Change::Removed(name),
+            Err(e) => Change::Put(Err(InvalidRecord::new(None, RecordFault::Malformed, e))),
         },
     }
 }
@@ -243,6 +243,6 @@
     Bytes::from(serde_json::to_vec(value).expect("invariant: records are valid JSON"))
 }
 
-fn read<T: serde::de::DeserializeOwned>(what: &str, body: &[u8]) -> Result<T, DialectError> {
-    serde_json::from_slice(body).map_err(|e| DialectError::new(format!("{what}: {e}")))
+fn read<T: serde::de::DeserializeOwned>(what: &str, body: &[u8]) -> Result<T, DecodeError> {
+    serde_json::from_slice(body).map_err(|e| DecodeError::new(format!("{what}: {e}")))
 }
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -12,11 +12,11 @@
 use crate::admit::admit;
 use crate::answer::AnswerBody;
 use crate::attempt::Reply;
+use crate::error_response::ErrorReason;
 use crate::gather::gather;
 use crate::job::Job;
 use crate::judge::judge_head;
 use crate::log::Trace;
-use crate::refusal::Reason;
 use crate::state::{Active, Gateway};
 use crate::stream;
 use crate::tries::{Tries, choose, may_repeat, next_reply};
@@ -26,7 +26,7 @@
     let active = gateway.begin_request();
     let arrived_ms = gateway.clock.now_ms();
     let (head, body) = request.into_parts();
-    let envelope = gateway.dialect.envelope(&head.headers);
+    let envelope = gateway.dialect.request_metadata(&head.headers);
     let id = envelope.request_id.clone().unwrap_or_else(|| "-".into());
     let mut trace = Trace::new(gateway.log.clone(), id);
     let path = head.uri.path().to_owned();
@@ -55,7 +55,7 @@
     gateway: &Gateway,
     route: &Name,
     arrived_ms: u64,
-    answer: Result<Response<AnswerBody>, Reason>,
+    answer: Result<Response<AnswerBody>, ErrorReason>,
     close: bool,
 ) -> Response<AnswerBody> {
     let outcome = match &answer {
@@ -76,7 +76,7 @@
             }
             answer
         }
-        Err(reason) => reason.into_answer(close),
+        Err(reason) => reason.into_response(close),
     }
 }
 
@@ -102,7 +102,7 @@
     job: Arc<Job>,
     mut trace: Trace,
     active: Active,
-) -> Result<Response<AnswerBody>, Reason> {
+) -> Result<Response<AnswerBody>, ErrorReason> {
     gateway.count_request(&job.pool);
     let mut tries = Tries::default();
     let mut kept = None;
@@ -160,8 +160,8 @@
                 gateway.until_looked(&upstream).await;
                 tries.tried.push(upstream);
                 if !may_repeat(gateway, &job, &tries) {
-                    trace.fail("refused", json!({"reason": Reason::AnswerLost.name()}));
-                    return Err(Reason::AnswerLost);
+                    trace.fail("refused", json!({"reason": ErrorReason::AnswerLost.name()}));
+                    return Err(ErrorReason::AnswerLost);
                 }
             }
         }
--- a/crates/ivyweir-gateway/src/server.rs
+++ b/crates/ivyweir-gateway/src/server.rs
@@ -120,7 +120,7 @@
 }
 
 /// Answers the balancer, and readers of metrics, one short answer a request.
-pub async fn serve_plain(
+pub async fn serve_text(
     listener: TcpListener,
     answer: impl Fn(&str) -> (StatusCode, String) + Clone + Send + 'static,
 ) {
--- a/crates/ivyweir-gateway/src/settings.rs
+++ b/crates/ivyweir-gateway/src/settings.rs
@@ -90,7 +90,7 @@
 
 impl Usage {
     /// When windows are fixed and reported.
-    pub fn terms(&self) -> UsageSchedule {
+    pub fn schedule(&self) -> UsageSchedule {
         UsageSchedule {
             window_ms: (self.window_s * 1_000.0) as u64,
             late_ms: (self.late_s * 1_000.0) as u64,
@@ -237,7 +237,7 @@
     }
 
     /// Time without a newer proof after which a box tries the store itself, whoever it follows.
-    pub fn unrenewed_ms(&self) -> u64 {
+    pub fn proof_renewal_timeout_ms(&self) -> u64 {
         let by_leaving_ms = self.leaving_ms as f64 * UNRENEWED_LEAVING;
         let by_revoke_ms = self.revoke_ms as f64 * UNRENEWED_REVOKE;
         by_leaving_ms.min(by_revoke_ms) as u64
@@ -245,11 +245,11 @@
 
     /// How long the root's watch of the configuration waits.
     pub fn root_watch_ms(&self) -> u64 {
-        (self.unrenewed_ms() as f64 * ROOT_WATCH) as u64
+        (self.proof_renewal_timeout_ms() as f64 * ROOT_WATCH) as u64
     }
 
     /// This box's own part of the bounds on repeats of a fleet of so many boxes.
-    pub fn repeat_limits(&self, boxes: usize) -> RetryLimits {
+    pub fn retry_limits(&self, boxes: usize) -> RetryLimits {
         RetryLimits {
             ratio: self.repeat_ratio * REPEAT_RATIO_USED,
             slack: self.repeat_slack / boxes.max(REPEAT_SLACK_BOXES) as f64,
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -41,7 +41,7 @@
 
 use crate::channel::Channels;
 use crate::clock::Clock;
-use crate::dialect::{Adapter, Dialect, DutyCodec, Item, StoreCodec, Topic};
+use crate::dialect::{Adapter, Dialect, DutyCodec, StoreCodec, StoreRecord, Topic};
 use crate::history::Histories;
 use crate::log::Log;
 use crate::metrics::Metrics;
@@ -179,24 +179,24 @@
     }
 
     /// The records of a topic as this box knows them.
-    pub fn items(&self, topic: Topic) -> Vec<Item> {
+    pub fn items(&self, topic: Topic) -> Vec<StoreRecord> {
         match topic {
             Topic::Site => {
                 let site = self.site();
-                let site = site.map(|site| Item::Site(Box::new(site.site().clone())));
+                let site = site.map(|site| StoreRecord::Site(Box::new(site.site().clone())));
                 site.into_iter().collect()
             }
             Topic::Upstreams => {
                 let ready = lock(&self.upstreams).ready(self.clock.now_ms());
-                ready.into_iter().map(Item::Upstream).collect()
+                ready.into_iter().map(StoreRecord::Upstream).collect()
             }
             Topic::Rollouts => self.with_rollouts(|rollouts, _| {
                 let orders = rollouts.values().map(|track| track.order().clone());
-                orders.map(Item::Rollout).collect()
+                orders.map(StoreRecord::Rollout).collect()
             }),
             Topic::DrainedHalls => {
                 let halls = self.drained_halls().into_iter();
-                halls.map(Item::DrainedHall).collect()
+                halls.map(StoreRecord::DrainedHall).collect()
             }
         }
     }
--- a/crates/ivyweir-gateway/src/state/proof.rs
+++ b/crates/ivyweir-gateway/src/state/proof.rs
@@ -41,7 +41,7 @@
 
     /// Whether the proof is as young as that of a box which hears the store's records.
     pub fn hears_store(&self) -> bool {
-        let limit_ms = self.settings.bounds.unrenewed_ms();
+        let limit_ms = self.settings.bounds.proof_renewal_timeout_ms();
         lock(&self.proof).is_younger_than(limit_ms, self.clock.now_ms())
     }
 
--- a/crates/ivyweir-gateway/src/state/repeats.rs
+++ b/crates/ivyweir-gateway/src/state/repeats.rs
@@ -27,7 +27,7 @@
     /// This box's part of the bounds on repeats, by the number of boxes known.
     fn repeat_limits(&self) -> RetryLimits {
         let boxes = self.peers.fleet_size();
-        self.settings.bounds.repeat_limits(boxes)
+        self.settings.bounds.retry_limits(boxes)
     }
 
     /// This box's own requests and repeats of the last seconds.
--- a/crates/ivyweir-gateway/src/state/unread.rs
+++ b/crates/ivyweir-gateway/src/state/unread.rs
@@ -21,7 +21,7 @@
 impl Gateway {
     /// Takes in the names on an upstream's answer that nobody reads.
     pub fn note_unread(&self, upstream: &Name, headers: &HeaderMap) {
-        for name in self.dialect.unread(headers) {
+        for name in self.dialect.unread_headers(headers) {
             let name = name.as_str();
             // Header names are ASCII, so any byte is a border.
             self.note_unread_name(upstream, &name[..name.len().min(NAME_BYTES)]);
--- a/crates/ivyweir-gateway/src/state/unreadable.rs
+++ b/crates/ivyweir-gateway/src/state/unreadable.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::{Gateway, lock};
-use crate::dialect::{Topic, Unreadable};
+use crate::dialect::{InvalidRecord, Topic};
 
 /// Unreadable records that are remembered, so that they are not told again; of more, each is counted.
 const REMEMBERED: usize = 4_096;
@@ -35,7 +35,7 @@
 
 impl Gateway {
     /// Takes in that a record cannot be read.
-    pub fn note_unreadable(&self, topic: Topic, record: Unreadable) {
+    pub fn note_unreadable(&self, topic: Topic, record: InvalidRecord) {
         let is_new = lock(&self.unreadable).add(topic, record.name.as_ref());
         if is_new {
             self.tell_unreadable(topic, &record);
@@ -51,8 +51,8 @@
     }
 
     /// Takes in the unreadable records of a whole listing.
-    pub fn set_unreadable(&self, topic: Topic, records: Vec<Unreadable>) {
-        let new: Vec<Unreadable> = {
+    pub fn set_unreadable(&self, topic: Topic, records: Vec<InvalidRecord>) {
+        let new: Vec<InvalidRecord> = {
             let mut unreadable = lock(&self.unreadable);
             let before = std::mem::take(&mut unreadable.known);
             let (own, others) = before.into_iter().partition(|(of, _)| *of == topic);
@@ -78,7 +78,7 @@
         self.log.line("records_unreadable", detail);
     }
 
-    fn tell_unreadable(&self, topic: Topic, record: &Unreadable) {
+    fn tell_unreadable(&self, topic: Topic, record: &InvalidRecord) {
         self.count_unreadable(topic, record);
         let detail = json!({
             "topic": topic.name(), "name": record.name, "fault": record.fault.name(),
@@ -87,7 +87,7 @@
         self.log.line("record_unreadable", detail);
     }
 
-    fn count_unreadable(&self, topic: Topic, record: &Unreadable) {
+    fn count_unreadable(&self, topic: Topic, record: &InvalidRecord) {
         let counter = &self.metrics.unreadable_records;
         let labels = [topic.name(), record.fault.name()];
         counter.with_label_values(&labels).inc();
--- a/crates/ivyweir-gateway/src/state/usage.rs
+++ b/crates/ivyweir-gateway/src/state/usage.rs
@@ -23,7 +23,7 @@
     pub(super) fn new(settings: &Settings, run: u64) -> Self {
         let usage = settings.duties.and_then(|duties| duties.usage);
         Self {
-            terms: usage.map(|usage| usage.terms()),
+            terms: usage.map(|usage| usage.schedule()),
             epoch: StableWallClock::default(),
             table: UsageTable::new(BoxRun {
                 name: settings.box_name.clone(),
--- a/crates/ivyweir-gateway/src/store_client.rs
+++ b/crates/ivyweir-gateway/src/store_client.rs
@@ -45,7 +45,7 @@
         limit: Duration,
     ) -> Result<StoreAnswer, CallError> {
         let answer = self.client.call(request, limit).await?;
-        let reported = self.gateway.codec.era(&answer.headers);
+        let reported = self.gateway.codec.store_era(&answer.headers);
         Ok(StoreAnswer {
             status: answer.status,
             body: answer.body,
@@ -69,7 +69,7 @@
         if answer.status != StatusCode::OK {
             return Err(CallError::refused(answer.status));
         }
-        let page = self.gateway.codec.page(topic, &answer.body);
+        let page = self.gateway.codec.decode_page(topic, &answer.body);
         Ok((page.map_err(CallError::unreadable)?, answer.era))
     }
 }
--- a/crates/ivyweir-gateway/src/sync.rs
+++ b/crates/ivyweir-gateway/src/sync.rs
@@ -93,7 +93,7 @@
             client: StoreClient::new(gateway.clone()),
             relay: None,
             probes: Probes::new(
-                gateway.settings.bounds.unrenewed_ms(),
+                gateway.settings.bounds.proof_renewal_timeout_ms(),
                 gateway.clock.now_ms(),
             ),
             is_probing: false,
--- a/crates/ivyweir-gateway/src/sync/relay.rs
+++ b/crates/ivyweir-gateway/src/sync/relay.rs
@@ -14,7 +14,7 @@
 use crate::adopt::{ListingKind, adopt_all, adopt_changes};
 use crate::box_call::{BoxCallError, question, read_answer};
 use crate::client::{Answer, CallError, Client};
-use crate::dialect::{Item, Topic};
+use crate::dialect::{StoreRecord, Topic};
 use crate::follow::{FollowAnswer, Vouches, Whole, follow_path};
 use crate::history::Asker;
 
@@ -154,7 +154,7 @@
         }
         let now_ms = self.gateway.clock.now_ms();
         let left_ms = self.probes.first_in_ms(now_ms);
-        let most_ms = self.gateway.settings.bounds.unrenewed_ms();
+        let most_ms = self.gateway.settings.bounds.proof_renewal_timeout_ms();
         left_ms.min(most_ms).max(RELAY_SITE_MIN_WAIT_MS)
     }
 
@@ -248,7 +248,7 @@
         Ok(answer.revision)
     }
 
-    fn adopt_copy(&self, revision: Revision, items: Vec<Item>) {
+    fn adopt_copy(&self, revision: Revision, items: Vec<StoreRecord>) {
         let entries = items.into_iter().map(Ok).collect();
         adopt_all(
             &self.gateway,
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -13,7 +13,7 @@
 use super::{Follower, QUIET_WAIT_MS};
 use crate::adopt::{ListingKind, adopt_all, adopt_changes, readable_changes};
 use crate::client::{ANSWER_LIMIT, CallError};
-use crate::dialect::{Changes, Entry, Topic};
+use crate::dialect::{Changes, RecordResult, Topic};
 use crate::state::Gateway;
 use crate::store_client::StoreAnswer;
 
@@ -69,7 +69,7 @@
     }
 
     /// All records of the topic, and the revision behind which the watch tells the rest.
-    async fn read_pages(&mut self) -> Result<(Vec<Entry>, Revision), CallError> {
+    async fn read_pages(&mut self) -> Result<(Vec<RecordResult>, Revision), CallError> {
         let (first, era) = self.client.read_page(self.topic, None).await?;
         if Some(era) < self.gateway.store_era() {
             return Err(CallError::EraMismatch);
@@ -203,7 +203,7 @@
             // After a restore, the same revision number stands for another change.
             StatusCode::OK if answer.era != era => Ok(None),
             StatusCode::OK => {
-                let changes = self.gateway.codec.changes(self.topic, &answer.body);
+                let changes = self.gateway.codec.decode_changes(self.topic, &answer.body);
                 changes.map(Some).map_err(CallError::unreadable)
             }
             status => Err(CallError::refused(status)),
--- a/crates/ivyweir-gateway/src/tries.rs
+++ b/crates/ivyweir-gateway/src/tries.rs
@@ -8,9 +8,9 @@
 use serde_json::json;
 
 use crate::attempt::{self, Reply, Sending, Sent};
+use crate::error_response::ErrorReason;
 use crate::job::Job;
 use crate::log::Trace;
-use crate::refusal::Reason;
 use crate::state::{Gateway, Suspicion, Waiter};
 
 /// Upstreams that could not be reached, after which a request is refused unless it can still come in time.
@@ -42,15 +42,19 @@
     job: &Job,
     tries: &mut Tries,
     trace: &mut Trace,
-) -> Result<Box<Reply>, Reason> {
+) -> Result<Box<Reply>, ErrorReason> {
     let mut waiter: Option<Waiter> = None;
     loop {
         let now_ms = gateway.clock.now_ms();
         if now_ms >= job.deadline_ms {
-            return Err(gave_up(tries, Reason::LateNotRun, Reason::Late));
+            return Err(gave_up(tries, ErrorReason::LateNotRun, ErrorReason::Late));
         }
         if gateway.is_quarantined(job.fingerprint) {
-            return Err(gave_up(tries, Reason::Quarantined, Reason::AnswerLost));
+            return Err(gave_up(
+                tries,
+                ErrorReason::Quarantined,
+                ErrorReason::AnswerLost,
+            ));
         }
         let choice = match choose(gateway, job, &tries.tried, tries.model) {
             Ok(choice) => choice,
@@ -62,7 +66,7 @@
                 waiter.wait(for_ms).await;
                 continue;
             }
-            Err(why) => return Err(gave_up(tries, refusal(job, why), Reason::AnswerLost)),
+            Err(why) => return Err(gave_up(tries, refusal(job, why), ErrorReason::AnswerLost)),
         };
         waiter = None;
         trace.step(
@@ -114,7 +118,12 @@
 }
 
 /// Takes in that an upstream did not run the job; an error where no other is to be tried.
-fn not_run(gateway: &Gateway, job: &Job, tries: &mut Tries, arrived: bool) -> Result<(), Reason> {
+fn not_run(
+    gateway: &Gateway,
+    job: &Job,
+    tries: &mut Tries,
+    arrived: bool,
+) -> Result<(), ErrorReason> {
     let goes_on = if arrived {
         tries.sent += 1;
         has_attempt(gateway, job, tries.sent)
@@ -127,9 +136,9 @@
     }
     let why = match choose(gateway, job, &[], tries.model) {
         Err(why @ ChooseError::AllBackingOff { .. }) => refusal(job, why),
-        _ => Reason::NoUpstream,
+        _ => ErrorReason::NoUpstream,
     };
-    Err(gave_up(tries, why, Reason::AnswerLost))
+    Err(gave_up(tries, why, ErrorReason::AnswerLost))
 }
 
 /// Whether another upstream is tried after some that could not be reached. Nothing was sent to them, so it costs
@@ -146,16 +155,16 @@
 }
 
 /// Takes in that an upstream may have run the job; an error where it may not run again.
-fn lost(gateway: &Gateway, job: &Job, tries: &mut Tries) -> Result<(), Reason> {
+fn lost(gateway: &Gateway, job: &Job, tries: &mut Tries) -> Result<(), ErrorReason> {
     tries.sent += 1;
     tries.may_have_run = true;
     if may_repeat(gateway, job, tries) {
         return Ok(());
     }
     if gateway.clock.now_ms() >= job.deadline_ms {
-        Err(Reason::Late)
+        Err(ErrorReason::Late)
     } else {
-        Err(Reason::AnswerLost)
+        Err(ErrorReason::AnswerLost)
     }
 }
 
@@ -186,19 +195,19 @@
 }
 
 /// The refusal of a request that no upstream takes.
-fn refusal(job: &Job, why: ChooseError) -> Reason {
+fn refusal(job: &Job, why: ChooseError) -> ErrorReason {
     match why {
-        ChooseError::NoUpstream => Reason::NoUpstream,
-        ChooseError::HallsDrained => Reason::HallsDrained,
-        ChooseError::AllCold => Reason::AllCold,
-        ChooseError::AllBackingOff { for_ms } => Reason::AllBackingOff {
-            come_back_ms: spread_retry_after_ms(for_ms, job.rank(), job.seed),
+        ChooseError::NoUpstream => ErrorReason::NoUpstream,
+        ChooseError::HallsDrained => ErrorReason::HallsDrained,
+        ChooseError::AllCold => ErrorReason::AllCold,
+        ChooseError::AllBackingOff { for_ms } => ErrorReason::AllBackingOff {
+            retry_after_ms: spread_retry_after_ms(for_ms, job.rank(), job.seed),
         },
     }
 }
 
 /// The reason to give up with, by whether the request may have run.
-fn gave_up(tries: &Tries, not_run: Reason, may_have_run: Reason) -> Reason {
+fn gave_up(tries: &Tries, not_run: ErrorReason, may_have_run: ErrorReason) -> ErrorReason {
     if tries.may_have_run {
         may_have_run
     } else {
--- a/crates/ivyweir-gateway/tests/bounds.rs
+++ b/crates/ivyweir-gateway/tests/bounds.rs
@@ -17,7 +17,7 @@
     ($($name:ident: $boxes:expr;)*) => {$(
         #[test]
         fn $name() {
-            let limits = BOUNDS.repeat_limits($boxes);
+            let limits = BOUNDS.retry_limits($boxes);
             let of_all = limits.slack * f64::from($boxes as u32);
             assert!(of_all <= BOUNDS.repeat_slack + 1e-9, "{of_all} of {}", BOUNDS.repeat_slack);
             assert!(limits.ratio < BOUNDS.repeat_ratio);
@@ -46,7 +46,7 @@
             revoke_ms,
             ..BOUNDS
         };
-        assert_eq!(bounds.unrenewed_ms(), unrenewed_ms);
+        assert_eq!(bounds.proof_renewal_timeout_ms(), unrenewed_ms);
         assert!(bounds.root_watch_ms() < unrenewed_ms);
     }
 }
--- a/crates/ivyweir-gateway/tests/clock.rs
+++ b/crates/ivyweir-gateway/tests/clock.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use ivyweir_gateway::clock::{Clock, Suspension, TimeSource};
+use ivyweir_gateway::clock::{Clock, SuspensionDetector, TimeSource};
 use ivyweir_policy::gateway::cold::RecentSends;
 use ivyweir_policy::gateway::freshness::FreshnessProof;
 
@@ -27,7 +27,7 @@
 fn machine() -> (Arc<Machine>, Clock) {
     let machine = Arc::new(Machine::default());
     machine.pass(70_000);
-    let clock = Clock::start_on(machine.clone());
+    let clock = Clock::with_source(machine.clone());
     (machine, clock)
 }
 
@@ -64,12 +64,12 @@
 #[test]
 fn a_suspension_is_noticed_once_and_a_pause_is_none() {
     let (machine, clock) = machine();
-    let mut suspension = Suspension::watch(&clock);
-    assert_eq!(suspension.look(&clock), None);
+    let mut suspension = SuspensionDetector::start(&clock);
+    assert_eq!(suspension.poll(&clock), None);
     machine.pass(6_000);
-    let lasted_ms = suspension.look(&clock).expect("a suspension");
+    let lasted_ms = suspension.poll(&clock).expect("a suspension");
     assert!((5_000..=6_000).contains(&lasted_ms), "{lasted_ms} ms");
-    assert_eq!(suspension.look(&clock), None);
+    assert_eq!(suspension.poll(&clock), None);
 }
 
 #[test]
--- a/crates/ivyweir-standins/src/edge/record_store.rs
+++ b/crates/ivyweir-standins/src/edge/record_store.rs
@@ -13,8 +13,8 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use hyper::{Method, Request, Response, StatusCode};
-use ivyweir_gateway::dialect::{Item, Topic};
-use ivyweir_gateway::native::{STORE_ERA, StoredRecord};
+use ivyweir_gateway::dialect::{StoreRecord, Topic};
+use ivyweir_gateway::native::{STORE_ERA, StoredDutyRecord};
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::rollout::{RolloutOrder, RolloutState};
@@ -117,7 +117,7 @@
         self.put(
             Topic::Site,
             "main".into(),
-            Item::Site(Box::new(site.clone())),
+            StoreRecord::Site(Box::new(site.clone())),
         );
     }
 
@@ -126,7 +126,7 @@
         self.put(
             Topic::Upstreams,
             record.name().clone(),
-            Item::Upstream(record.clone()),
+            StoreRecord::Upstream(record.clone()),
         );
     }
 
@@ -145,7 +145,7 @@
         self.put(
             Topic::DrainedHalls,
             hall.into(),
-            Item::DrainedHall(hall.into()),
+            StoreRecord::DrainedHall(hall.into()),
         );
     }
 
@@ -164,7 +164,7 @@
             revision: 0,
             era: 0,
         };
-        self.put(Topic::Rollouts, pool.into(), Item::Rollout(order));
+        self.put(Topic::Rollouts, pool.into(), StoreRecord::Rollout(order));
     }
 
     /// Withdraws the roll-out of a pool.
@@ -190,7 +190,7 @@
             .records
             .get(&(Topic::Rollouts.name(), pool.into()))
         {
-            Some(Item::Rollout(order)) => Some(order.state),
+            Some(StoreRecord::Rollout(order)) => Some(order.state),
             _ => None,
         }
     }
@@ -204,7 +204,7 @@
         self.shared.state()
     }
 
-    fn put(&self, topic: Topic, name: Name, item: Item) {
+    fn put(&self, topic: Topic, name: Name, item: StoreRecord) {
         self.write(Write::Put(topic, name, item));
     }
 
@@ -311,7 +311,7 @@
         (Some(expected), Ok(record)) if expected == known => {
             state.contents.revision += 1;
             let revision = state.contents.revision;
-            state.contents.duties = Some(StoredRecord { record, revision });
+            state.contents.duties = Some(StoredDutyRecord { record, revision });
         }
         (Some(_), Ok(_)) => code = StatusCode::CONFLICT,
         (Some(_), Err(_)) => return status(StatusCode::BAD_REQUEST),
@@ -361,7 +361,7 @@
     let (code, item) = shared.state().write_rollout(order);
     shared.news.send_modify(|count| *count += 1);
     let mut answer = match item {
-        Some(Item::Rollout(order)) => answer_json(&order),
+        Some(StoreRecord::Rollout(order)) => answer_json(&order),
         _ => status(code),
     };
     *answer.status_mut() = code;
--- a/crates/ivyweir-standins/src/edge/record_store/state.rs
+++ b/crates/ivyweir-standins/src/edge/record_store/state.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hyper::StatusCode;
-use ivyweir_gateway::dialect::{Item, Topic};
-use ivyweir_gateway::native::{RecordChange, RecordChanges, RecordPage, StoredRecord};
+use ivyweir_gateway::dialect::{StoreRecord, Topic};
+use ivyweir_gateway::native::{RecordChange, RecordChanges, RecordPage, StoredDutyRecord};
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::quarantine::QuarantineRecord;
 use ivyweir_policy::gateway::rollout::RolloutOrder;
@@ -16,19 +16,19 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Contents {
     pub(super) revision: u64,
-    pub(super) records: BTreeMap<(&'static str, Name), Item>,
+    pub(super) records: BTreeMap<(&'static str, Name), StoreRecord>,
     /// Records of other writers, which cannot be read, by topic and name.
     pub(super) foreign: BTreeMap<(&'static str, Name), Value>,
     /// Quarantined requests, by the name of their record.
     pub(super) quarantines: BTreeMap<String, QuarantineRecord>,
     /// Who holds the duties, and the revision of that.
-    pub(super) duties: Option<StoredRecord>,
+    pub(super) duties: Option<StoredDutyRecord>,
 }
 
 /// A write by an operator or an upstream.
 #[derive(Debug, Clone)]
 pub(super) enum Write {
-    Put(Topic, Name, Item),
+    Put(Topic, Name, StoreRecord),
     PutForeign(Topic, Name, Value),
     Remove(Topic, Name),
     LiftQuarantines,
@@ -86,10 +86,10 @@
 
     /// Whether putting `item` would change nothing. Of a roll-out that is not over, only the target version and the
     /// duration are compared; one that is over is always written anew.
-    fn is_already_stored(&self, topic: Topic, name: &Name, item: &Item) -> bool {
+    fn is_already_stored(&self, topic: Topic, name: &Name, item: &StoreRecord) -> bool {
         let known = self.contents.records.get(&(topic.name(), name.clone()));
         match (known, item) {
-            (Some(Item::Rollout(known)), Item::Rollout(order)) => {
+            (Some(StoreRecord::Rollout(known)), StoreRecord::Rollout(order)) => {
                 let same = known.target_version == order.target_version;
                 same && known.duration_ms == order.duration_ms && !known.state.is_over()
             }
@@ -97,9 +97,9 @@
         }
     }
 
-    pub(super) fn put(&mut self, topic: Topic, name: Name, mut item: Item) {
+    pub(super) fn put(&mut self, topic: Topic, name: Name, mut item: StoreRecord) {
         self.contents.revision += 1;
-        if let Item::Rollout(order) = &mut item {
+        if let StoreRecord::Rollout(order) = &mut item {
             order.revision = self.contents.revision;
         }
         let key = (topic.name(), name);
@@ -166,9 +166,12 @@
     }
 
     /// Writes a roll-out's state under the revision that the writer saw.
-    pub(super) fn write_rollout(&mut self, order: RolloutOrder) -> (StatusCode, Option<Item>) {
+    pub(super) fn write_rollout(
+        &mut self,
+        order: RolloutOrder,
+    ) -> (StatusCode, Option<StoreRecord>) {
         let key = (Topic::Rollouts.name(), order.pool.clone());
-        let Some(Item::Rollout(now)) = self.contents.records.get(&key) else {
+        let Some(StoreRecord::Rollout(now)) = self.contents.records.get(&key) else {
             return (StatusCode::NOT_FOUND, None);
         };
         if now.revision != order.revision {
@@ -178,7 +181,7 @@
             );
         }
         let pool = order.pool.clone();
-        self.put(Topic::Rollouts, pool, Item::Rollout(order));
+        self.put(Topic::Rollouts, pool, StoreRecord::Rollout(order));
         (StatusCode::OK, self.contents.records.get(&key).cloned())
     }
 }
--- a/crates/ivyweird/src/main.rs
+++ b/crates/ivyweird/src/main.rs
@@ -7,7 +7,7 @@
 
 use gumdrop::Options;
 use ivyweir_adapter::{DutyCalls, ObjectCodec};
-use ivyweir_gateway::native::{self, NativeCodec, NativeDuties};
+use ivyweir_gateway::native::{self, NativeCodec, NativeDutyCodec};
 use ivyweir_gateway::{Adapter, DialectChoice, Settings as GatewaySettings};
 use ivyweird::Settings;
 
@@ -82,7 +82,7 @@
         DialectChoice::Native => Adapter {
             dialect: Arc::new(native::dialect()),
             store: Arc::new(NativeCodec),
-            duties: Arc::new(NativeDuties),
+            duties: Arc::new(NativeDutyCodec),
         },
         DialectChoice::Platform => Adapter {
             dialect: Arc::new(ivyweir_adapter::dialect()),
