--- a/crates/ivyweir-gateway/src/dialect.rs
+++ b/crates/ivyweir-gateway/src/dialect.rs
@@ -1,7 +1,8 @@
-//! What a dialect translates: headers of requests and answers, and the store's messages.
+//! Traits and types that separate the gateway from header names and store message formats.
 //!
-//! The gateway decides with the types below. A dialect reads them from, and writes them to, the
-//! names that callers, upstreams and the store use. It holds no state and decides nothing.
+//! The gateway makes its decisions on the types below. A [`Dialect`] maps them to and from the
+//! headers that callers and upstreams use, and a [`StoreCodec`] does so for the store's messages.
+//! Implementations are stateless and make no decisions.
 
 use std::fmt;
 use std::sync::Arc;
@@ -20,72 +21,72 @@
 use ivyweir_policy::gateway::statement::{Source, Statement};
 use serde::{Deserialize, Serialize};
 
-/// A part of a prompt that may stand in other prompts too.
+/// A segment of a prompt that other prompts may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Hash of its id.
+    /// Hash of the segment's id.
     pub id_hash: u64,
-    /// Its length.
+    /// Length of the segment in tokens.
     pub tokens: u32,
 }
 
-/// What a caller says of its request.
+/// Request metadata that a caller sends in headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// Id of this try.
+    /// Id of this attempt.
     pub request_id: Option<Name>,
-    /// Time for which the caller waits.
+    /// Time until the caller gives up.
     pub budget_ms: Option<u64>,
-    /// The caller's key.
+    /// API key of the caller.
     pub key: Option<Name>,
-    /// Whether the caller leaves the model to the system.
+    /// Whether the gateway selects the model.
     pub auto_model: bool,
-    /// Tokens that the caller expects to come out, by its guess or else by its limit.
+    /// Expected number of output tokens: the caller's estimate, or its limit if it gave none.
     pub expected_output_tokens: Option<u32>,
-    /// Parts of the prompt in order; the last belongs to this request or its session.
+    /// Segments of the prompt in order. The last one belongs to this request or its session.
     pub prompt_parts: Vec<PromptPart>,
-    /// The event behind which the caller wants a stream to go on.
+    /// Last event that the caller received; a stream resumes after it.
     pub last_event_id: Option<u64>,
-    /// Hash of the session, if there is one.
+    /// Hash of the session id, if the request belongs to a session.
     pub session: Option<u64>,
 }
 
-/// What the system says of a request that it sends on.
+/// Metadata that the gateway adds to a request that it forwards.
 #[derive(Debug, Clone, Copy)]
 pub struct ForwardMetadata<'a> {
-    /// The upstream that is to run it; any other refuses.
+    /// Upstream that must run the request; any other upstream rejects it.
     pub upstream_name: &'a str,
-    /// What is left of the caller's time.
+    /// Remaining part of the caller's time budget.
     pub budget_ms: u64,
-    /// Whose request it is.
+    /// Workspace of the caller.
     pub workspace: Option<&'a str>,
-    /// The model, where the caller left it open.
+    /// Model selected by the gateway, if the caller named none.
     pub model: Option<&'a str>,
-    /// The event behind which the stream goes on, where that differs from what the caller said.
+    /// Event after which the stream resumes, if it differs from the one that the caller sent.
     pub resume_after: Option<u64>,
-    /// Rank at the engine, 0 first.
+    /// Priority in the engine's queue; 0 is served first.
     pub urgency: Option<u8>,
 }
 
-/// What an upstream says of its answer.
+/// Response metadata that an upstream sends in headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// Id of the request that it answers.
+    /// Id of the request that the response belongs to.
     pub request_id: Option<Name>,
-    /// Whether it carries the upstream's signature.
+    /// Whether the response has the upstream's signature header.
     pub is_signed: bool,
-    /// Whether the upstream says that the request did not run and will not.
+    /// Whether the upstream states that the request has not run and will not run.
     pub not_run: bool,
-    /// Whether another incarnation has the address.
+    /// Whether another incarnation now serves the address.
     pub is_other_incarnation: bool,
-    /// What the upstream says of itself.
+    /// The upstream's statement about itself: load, limits and whether it is leaving.
     pub statement: Statement,
-    /// The model's opinion of its answer, 0 to 100.
+    /// The model's confidence in its response, 0 to 100.
     pub confidence: Option<u8>,
 }
 
 impl Default for ResponseMetadata {
-    /// An answer that says nothing.
+    /// Metadata of a response without any of the dialect's headers.
     fn default() -> Self {
         Self {
             request_id: None,
@@ -99,13 +100,13 @@
 }
 
 impl ResponseMetadata {
-    /// Requests that the upstream ran when it answered; 0 where it does not tell.
+    /// Number of requests running at the upstream when it responded; 0 if not reported.
     pub fn running(&self) -> u32 {
         self.statement.load.map_or(0, |load| load.running)
     }
 
-    /// Requests that waited at the upstream when it answered, for each that it ran; 0 where it does not
-    /// tell.
+    /// Number of requests waiting at the upstream per running request when it responded; 0 if not
+    /// reported.
     pub fn waiting_per_running(&self) -> f64 {
         self.statement.load.map_or(0.0, |load| {
             f64::from(load.waiting) / f64::from(load.running.max(1))
@@ -113,31 +114,31 @@
     }
 }
 
-/// Which records of the store are meant.
+/// A collection of records in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
     /// The configuration.
     Site,
-    /// Upstreams.
+    /// Registered upstreams.
     Upstreams,
     /// Roll-outs.
     Rollouts,
-    /// Halls whose upstreams are to get nothing more.
+    /// Halls whose upstreams must not receive new requests.
     DrainedHalls,
 }
 
 impl Topic {
-    /// What boxes follow where operators may drain halls.
+    /// Topics that a box follows where operators may drain halls.
     pub const ALL: [Self; 4] = [
         Self::Site,
         Self::Upstreams,
         Self::Rollouts,
         Self::DrainedHalls,
     ];
-    /// What they follow elsewhere: each topic more costs calls to the store.
+    /// Topics that a box follows elsewhere; each further topic costs calls to the store.
     pub const WITHOUT_DRAINS: [Self; 3] = [Self::Site, Self::Upstreams, Self::Rollouts];
 
-    /// Its name in logs.
+    /// Name of the topic in logs, metrics and store paths.
     pub fn name(self) -> &'static str {
         match self {
             Self::Site => "site",
@@ -147,7 +148,7 @@
         }
     }
 
-    /// The topic of this name.
+    /// Returns the topic with this name.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|topic| topic.name() == name)
     }
@@ -163,12 +164,12 @@
     Upstream(UpstreamRecord),
     /// A roll-out.
     Rollout(RolloutOrder),
-    /// A hall whose upstreams are to get nothing more while the record stands.
+    /// A hall whose upstreams must not receive new requests while this record exists.
     DrainedHall(Name),
 }
 
 impl StoreRecord {
-    /// The name of its record, where there may be several of its kind.
+    /// Name of the record; `None` for the configuration, of which there is only one.
     pub fn name(&self) -> Option<&Name> {
         match self {
             Self::Site(_) => None,
@@ -187,7 +188,7 @@
         self
     }
 
-    /// The record of an upstream, if it is one.
+    /// Returns the upstream record, if this is one.
     pub fn upstream(self) -> Option<UpstreamRecord> {
         match self {
             Self::Upstream(record) => Some(record),
@@ -196,23 +197,23 @@
     }
 }
 
-/// What is wrong with a record: it may come from another writer.
+/// Why a record is invalid. Records may come from writers other than this gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordFault {
-    /// It has no name.
+    /// The name is missing.
     MissingName,
-    /// A field is missing or of another type, or it is no object.
+    /// The record is not an object, or a field is missing or has the wrong type.
     Malformed,
-    /// Its address is none.
+    /// The address cannot be parsed.
     InvalidAddress,
-    /// Its state is none that is known.
+    /// The state is not a known value.
     UnknownState,
-    /// The time of its start is no whole number of milliseconds.
+    /// The start time is not a whole number of milliseconds.
     InvalidStartTime,
 }
 
 impl RecordFault {
-    /// Its name in logs and metrics.
+    /// Name of the fault in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::MissingName => "unnamed",
@@ -224,22 +225,23 @@
     }
 }
 
-/// Bytes of a text that says what is wrong with a record: the record itself may have hundreds of kilobytes.
+/// Maximum length of an error detail, since it may quote a record of hundreds of kilobytes.
 const MAX_DETAIL_BYTES: usize = 160;
 
-/// A record that cannot be read. What it was before it was written over counts no more.
+/// A record that cannot be decoded. It replaces the previous version of the record, which is no
+/// longer in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidRecord {
-    /// Its name, where it has one.
+    /// Name of the record, if it has one.
     pub name: Option<Name>,
-    /// What is wrong with it.
+    /// Kind of fault.
     pub fault: RecordFault,
-    /// More of that.
+    /// Description of the fault.
     pub detail: String,
 }
 
 impl InvalidRecord {
-    /// A record of this name, and what is wrong with it; a long detail is cut.
+    /// Creates an invalid record, truncating the detail to [`MAX_DETAIL_BYTES`].
     pub fn new(name: Option<Name>, fault: RecordFault, detail: impl fmt::Display) -> Self {
         let mut detail = detail.to_string();
         if let Some((end, _)) = detail
@@ -256,10 +258,10 @@
     }
 }
 
-/// A record, or why it cannot be read.
+/// A decoded record, or the reason why it is invalid.
 pub type RecordResult = std::result::Result<StoreRecord, InvalidRecord>;
 
-/// A quarantined request that is kept, or why it cannot be read.
+/// A stored quarantined request, or the reason why it cannot be decoded.
 pub type QuarantineEntry = std::result::Result<QuarantineRecord, DecodeError>;
 
 /// A page of a listing.
@@ -267,18 +269,18 @@
 pub struct Page {
     /// The records.
     pub entries: Vec<RecordResult>,
-    /// Where the next page starts, if there is one.
+    /// Key after which the next page starts; `None` on the last page.
     pub next_after: Option<String>,
-    /// The store's revision when it answered.
+    /// Revision of the store at the time of its response.
     pub revision: u64,
 }
 
-/// A change that a watch saw.
+/// A change reported by a watch.
 #[derive(Debug)]
 pub enum Change {
     /// A record was written.
     Put(RecordResult),
-    /// The record of this name is gone.
+    /// The record with this name was removed.
     Removed(Name),
 }
 
@@ -293,23 +295,23 @@
     }
 }
 
-/// What a watch saw.
+/// The changes reported by a watch.
 #[derive(Debug)]
 pub struct Changes {
-    /// In order.
+    /// Changes in order of their revisions.
     pub changes: Vec<Change>,
-    /// Where the next watch starts.
+    /// Revision from which the next watch starts.
     pub revision: u64,
 }
 
-/// A message that cannot be read.
+/// A message that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecodeError {
     detail: String,
 }
 
 impl DecodeError {
-    /// `detail` says which message, and what was expected.
+    /// Creates an error whose `detail` names the message and what was expected.
     pub fn new(detail: impl Into<String>) -> Self {
         Self {
             detail: detail.into(),
@@ -325,118 +327,124 @@
 
 impl std::error::Error for DecodeError {}
 
-/// Names on requests and answers.
+/// Mapping of request and response metadata to headers.
 pub trait Dialect: Send + Sync {
-    /// The path at which the balancer asks whether a box takes new connections.
+    /// Path at which the load balancer checks whether a box accepts new connections.
     fn ready_path(&self) -> &str;
 
-    /// Reads what a caller says.
+    /// Reads the metadata of a caller's request.
     fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
-    /// Removes what only the system may say, and the caller's key.
+    /// Removes the headers that only the gateway may set, and the caller's key.
     fn strip_reserved_headers(&self, headers: &mut HeaderMap);
 
-    /// Adds what the system says.
+    /// Adds the gateway's metadata to a forwarded request.
     fn add_forward_headers(&self, headers: &mut HeaderMap, forward: &ForwardMetadata);
 
-    /// Reads what an upstream says.
+    /// Reads the metadata of an upstream's response.
     fn response_metadata(&self, status: u16, headers: &HeaderMap) -> ResponseMetadata;
 
-    /// Names on an answer that are the dialect's by their form, and that [`answer`](Self::response_metadata) does not read.
+    /// Returns the response headers that have one of the dialect's prefixes but are not read by
+    /// [`response_metadata`](Self::response_metadata).
     fn unread_headers<'h>(&self, headers: &'h HeaderMap) -> Vec<&'h HeaderName>;
 }
 
-/// The store's messages.
+/// Encoding and decoding of the store's messages.
 pub trait StoreCodec: Send + Sync {
-    /// Reads the number of times the store has been restored from a backup from the headers of an
-    /// answer; `None` if they contain no valid number.
+    /// Reads the number of times the store has been restored from a backup from the headers of a
+    /// response; `None` if they contain no valid number.
     fn store_era(&self, headers: &HeaderMap) -> Option<u64>;
 
-    /// Asks for a page of records.
+    /// Builds the request for a page of records.
     fn list(&self, topic: Topic, after: Option<&str>) -> Request<Bytes>;
 
-    /// Asks for changes behind a revision, waiting for some.
+    /// Builds the long-poll request for changes after a revision.
     fn watch(&self, topic: Topic, since: u64, wait_ms: u64) -> Request<Bytes>;
 
-    /// Writes how far a roll-out is, if its record has not changed.
+    /// Builds the conditional write of a roll-out's progress, which fails if the record has
+    /// changed.
     fn write_rollout(&self, order: &RolloutOrder) -> Request<Bytes>;
 
-    /// Asks for the quarantined requests that are kept.
+    /// Builds the request for the list of stored quarantined requests.
     fn list_quarantines(&self) -> Request<Bytes>;
 
-    /// Keeps a quarantined request, unless it is kept already.
+    /// Builds the request that stores a quarantined request unless it is stored already.
     fn create_quarantine(&self, record: &QuarantineRecord) -> Request<Bytes>;
 
-    /// Keeps it no longer.
+    /// Builds the request that deletes a stored quarantined request.
     fn delete_quarantine(&self, fingerprint: Fingerprint) -> Request<Bytes>;
 
-    /// Asks who holds the duties.
+    /// Builds the request for the record of the duty holder.
     fn read_duties(&self) -> Request<Bytes>;
 
-    /// Writes who holds the duties, if the record has this revision; if there is none yet, without one.
+    /// Builds the conditional write of the duty holder's record. It succeeds only if the record has
+    /// this revision or, with `None`, if there is no record yet.
     fn write_duties(&self, record: &DutyRecord, revision: Option<u64>) -> Request<Bytes>;
 
-    /// Reads who holds the duties, as it stands after a write, or in place of one.
+    /// Decodes the record of the duty holder, which is also the response to a write, whether the
+    /// write succeeded or not.
     ///
     /// # Errors
     ///
-    /// When the body is no such record.
+    /// When the body is not such a record.
     fn decode_duties(&self, body: &[u8]) -> Result<StoredDuties, DecodeError>;
 
-    /// Reads the quarantined requests that are kept; one that cannot be read is an error of its own.
+    /// Decodes the list of stored quarantined requests. Each entry that cannot be decoded is a
+    /// separate error in the list.
     ///
     /// # Errors
     ///
-    /// When the body is no list of them.
+    /// When the body is not a list.
     fn decode_quarantines(&self, body: &[u8]) -> Result<Vec<QuarantineEntry>, DecodeError>;
 
-    /// Reads a page.
+    /// Decodes a page of records.
     ///
     /// # Errors
     ///
-    /// When the body is no page.
+    /// When the body is not a page of records.
     fn decode_page(&self, topic: Topic, body: &[u8]) -> Result<Page, DecodeError>;
 
-    /// Reads what a watch saw.
+    /// Decodes the response to a watch.
     ///
     /// # Errors
     ///
-    /// When the body is no answer to a watch.
+    /// When the body is not a response to a watch.
     fn decode_changes(&self, topic: Topic, body: &[u8]) -> Result<Changes, DecodeError>;
 
-    /// Reads a roll-out's record as it stands after a write, or in place of one.
+    /// Decodes a roll-out's record, which is also the response to a write, whether the write
+    /// succeeded or not.
     ///
     /// # Errors
     ///
-    /// When the body is no such record.
+    /// When the body is not such a record.
     fn decode_rollout(&self, body: &[u8]) -> Result<RolloutOrder, DecodeError>;
 }
 
-/// Who makes a duty's call.
+/// The box on whose behalf a duty call is made.
 #[derive(Debug, Clone, Copy)]
 pub struct DutyHolder<'a> {
-    /// The box that holds the duties.
+    /// Name of the box that holds the duties.
     pub name: &'a str,
-    /// The fence under which it holds them.
+    /// Fencing token under which the box holds the duties.
     pub fence: u64,
 }
 
-/// Messages of duties to the platform.
+/// Encoding of duty calls to the platform.
 pub trait DutyCodec: Send + Sync {
-    /// Reports the usage of a window.
+    /// Builds the call that reports the usage of a window.
     fn report_usage(&self, holder: DutyHolder, report: &UsageReport) -> Request<Bytes>;
 
-    /// Orders upstreams.
+    /// Builds the call that orders upstreams.
     fn order_upstreams(&self, holder: DutyHolder, order: &UpstreamOrder) -> Request<Bytes>;
 }
 
-/// Translates for all whom a box talks to but other boxes.
+/// Translation for all parties that a box talks to, except other boxes.
 #[derive(Clone)]
 pub struct Adapter {
-    /// Names on requests and answers.
+    /// Mapping of metadata to headers.
     pub dialect: Arc<dyn Dialect>,
-    /// The store's messages.
+    /// Encoding of the store's messages.
     pub store: Arc<dyn StoreCodec>,
-    /// Messages of duties.
+    /// Encoding of duty calls.
     pub duties: Arc<dyn DutyCodec>,
 }
--- a/crates/ivyweir-gateway/src/native.rs
+++ b/crates/ivyweir-gateway/src/native.rs
@@ -1,4 +1,4 @@
-//! The gateway's own interface: header names and store messages, where no other is asked for.
+//! The native dialect, used unless another is configured: header names and store messages.
 
 use bytes::Bytes;
 use hyper::header::{self, HeaderName};
@@ -18,7 +18,7 @@
 };
 use crate::headers::{HeaderDialect, HeaderNames};
 
-/// The gateway's own names on requests and answers.
+/// Returns the native header names of requests and responses.
 pub fn dialect() -> HeaderDialect {
     HeaderDialect::new(HeaderNames {
         ready_path: "/readyz",
@@ -43,39 +43,39 @@
     })
 }
 
-/// Header on the store's answers: the number of times it has been restored from a backup.
+/// Response header of the store with the number of times it has been restored from a backup.
 pub const STORE_ERA: &str = "ivyweir-store-era";
 
-/// Where quarantined requests are kept.
-const QUARANTINES: &str = "/v1/quarantines";
+/// Store path of quarantined requests.
+const QUARANTINES_PATH: &str = "/v1/quarantines";
 
-/// The gateway's own messages to and from a store: records as JSON under `/v1/records/TOPIC`.
+/// The native store protocol: records as JSON under `/v1/records/TOPIC`.
 #[derive(Debug, Clone, Default)]
 pub struct NativeCodec;
 
-/// Where the record of duties is kept.
-const DUTIES: &str = "/v1/duties";
+/// Store path of the duty record.
+const DUTIES_PATH: &str = "/v1/duties";
 
-/// The record of duties as the store answers it.
+/// The duty record as the store returns it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoredDutyRecord {
-    /// The record.
+    /// The duty record.
     pub record: DutyRecord,
-    /// Its revision.
+    /// Revision of the record.
     pub revision: u64,
 }
 
-/// The gateway's own messages of duties.
+/// The native encoding of duty calls.
 #[derive(Debug, Clone, Default)]
 pub struct NativeDutyCodec;
 
 impl DutyCodec for NativeDutyCodec {
     fn report_usage(&self, holder: DutyHolder, report: &UsageReport) -> Request<Bytes> {
-        duty_call("/v1/usage", holder, json(report))
+        duty_call("/v1/usage", holder, encode_json(report))
     }
 
     fn order_upstreams(&self, holder: DutyHolder, order: &UpstreamOrder) -> Request<Bytes> {
-        duty_call("/v1/upstreams", holder, json(order))
+        duty_call("/v1/upstreams", holder, encode_json(order))
     }
 }
 
@@ -87,26 +87,26 @@
         .header("ivyweir-duty-holder", holder.name)
         .header("ivyweir-fence", holder.fence)
         .body(body)
-        .expect("invariant: names of boxes are valid in headers")
+        .expect("invariant: box names are valid header values")
 }
 
 /// A page of records.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RecordPage {
-    /// The records.
+    /// Records as untyped JSON, so that each is decoded separately.
     pub records: Vec<Value>,
-    /// Where the next page starts, if there is one.
+    /// Key after which the next page starts; `None` on the last page.
     pub next_after: Option<String>,
-    /// The store's revision.
+    /// Revision of the store at the time of its response.
     pub revision: u64,
 }
 
-/// Changes of records.
+/// Response to a watch.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RecordChanges {
-    /// In order.
+    /// Changes in order of their revisions.
     pub changes: Vec<Value>,
-    /// Where to go on.
+    /// Revision from which the next watch starts.
     pub revision: u64,
 }
 
@@ -114,9 +114,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordChange {
-    /// It was written.
+    /// The record was written.
     Put(StoreRecord),
-    /// It is gone.
+    /// The record with this name was removed.
     Gone(Name),
 }
 
@@ -143,39 +143,39 @@
 
     fn write_rollout(&self, order: &RolloutOrder) -> Request<Bytes> {
         let path = format!("/v1/records/rollouts/{}", order.pool);
-        request(Method::PUT, path, json(order))
+        request(Method::PUT, path, encode_json(order))
     }
 
     fn list_quarantines(&self) -> Request<Bytes> {
-        request(Method::GET, QUARANTINES.into(), Bytes::new())
+        request(Method::GET, QUARANTINES_PATH.into(), Bytes::new())
     }
 
     fn create_quarantine(&self, record: &QuarantineRecord) -> Request<Bytes> {
-        let path = format!("{QUARANTINES}/{}", record.fingerprint);
-        request(Method::POST, path, json(record))
+        let path = format!("{QUARANTINES_PATH}/{}", record.fingerprint);
+        request(Method::POST, path, encode_json(record))
     }
 
     fn delete_quarantine(&self, fingerprint: Fingerprint) -> Request<Bytes> {
-        let path = format!("{QUARANTINES}/{fingerprint}");
+        let path = format!("{QUARANTINES_PATH}/{fingerprint}");
         request(Method::DELETE, path, Bytes::new())
     }
 
     fn read_duties(&self) -> Request<Bytes> {
-        request(Method::GET, DUTIES.into(), Bytes::new())
+        request(Method::GET, DUTIES_PATH.into(), Bytes::new())
     }
 
     fn write_duties(&self, record: &DutyRecord, revision: Option<u64>) -> Request<Bytes> {
         match revision {
-            None => request(Method::POST, DUTIES.into(), json(record)),
+            None => request(Method::POST, DUTIES_PATH.into(), encode_json(record)),
             Some(revision) => {
-                let path = format!("{DUTIES}?revision={revision}");
-                request(Method::PUT, path, json(record))
+                let path = format!("{DUTIES_PATH}?revision={revision}");
+                request(Method::PUT, path, encode_json(record))
             }
         }
     }
 
     fn decode_duties(&self, body: &[u8]) -> Result<StoredDuties, DecodeError> {
-        let stored: StoredDutyRecord = read("duties", body)?;
+        let stored: StoredDutyRecord = decode("duties", body)?;
         Ok(StoredDuties {
             record: stored.record,
             revision: stored.revision,
@@ -183,23 +183,23 @@
     }
 
     fn decode_quarantines(&self, body: &[u8]) -> Result<Vec<QuarantineEntry>, DecodeError> {
-        let records: Vec<QuarantineRecord> = read("quarantined requests", body)?;
+        let records: Vec<QuarantineRecord> = decode("quarantined requests", body)?;
         Ok(records.into_iter().map(Ok).collect())
     }
 
     fn decode_page(&self, _topic: Topic, body: &[u8]) -> Result<Page, DecodeError> {
-        let page: RecordPage = read("a page of records", body)?;
+        let page: RecordPage = decode("page of records", body)?;
         Ok(Page {
-            entries: page.records.into_iter().map(entry).collect(),
+            entries: page.records.into_iter().map(decode_record).collect(),
             next_after: page.next_after,
             revision: page.revision,
         })
     }
 
     fn decode_changes(&self, _topic: Topic, body: &[u8]) -> Result<Changes, DecodeError> {
-        let changes: RecordChanges = read("changes of records", body)?;
+        let changes: RecordChanges = decode("changes of records", body)?;
         let revision = changes.revision;
-        let changes = changes.changes.into_iter().map(change);
+        let changes = changes.changes.into_iter().map(decode_change);
         Ok(Changes {
             changes: changes.collect(),
             revision,
@@ -207,20 +207,20 @@
     }
 
     fn decode_rollout(&self, body: &[u8]) -> Result<RolloutOrder, DecodeError> {
-        read("a roll-out", body)
+        decode("roll-out", body)
     }
 }
 
-/// A record; one that cannot be read may tell its name beside.
-fn entry(record: Value) -> RecordResult {
+/// Decodes a record. An invalid record keeps its name if the JSON has one.
+fn decode_record(record: Value) -> RecordResult {
     let name = record["name"].as_str().map(Name::from);
     serde_json::from_value(record).map_err(|e| InvalidRecord::new(name, RecordFault::Malformed, e))
 }
 
-fn change(change: Value) -> Change {
+fn decode_change(change: Value) -> Change {
     match change {
         Value::Object(mut fields) if fields.contains_key("put") => {
-            Change::Put(entry(fields.remove("put").unwrap_or_default()))
+            Change::Put(decode_record(fields.remove("put").unwrap_or_default()))
         }
         other => match serde_json::from_value(other) {
             Ok(RecordChange::Put(item)) => Change::Put(Ok(item)),
@@ -236,13 +236,13 @@
         .uri(path)
         .header(header::HOST, "store")
         .body(body)
-        .expect("invariant: paths are made of valid parts")
+        .expect("invariant: path segments are valid")
 }
 
-fn json(value: &impl Serialize) -> Bytes {
-    Bytes::from(serde_json::to_vec(value).expect("invariant: records are valid JSON"))
+fn encode_json(value: &impl Serialize) -> Bytes {
+    Bytes::from(serde_json::to_vec(value).expect("invariant: records serialize to JSON"))
 }
 
-fn read<T: serde::de::DeserializeOwned>(what: &str, body: &[u8]) -> Result<T, DecodeError> {
+fn decode<T: serde::de::DeserializeOwned>(what: &str, body: &[u8]) -> Result<T, DecodeError> {
     serde_json::from_slice(body).map_err(|e| DecodeError::new(format!("{what}: {e}")))
 }
