--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The request path of ivyweir for opaque requests and streams of events.
+//! Reverse proxy of ivyweir for opaque requests and event streams.
 //!
-//! A gateway takes requests from callers, finds their route in the configuration, and sends them to
-//! an upstream of the route's pool. It passes bodies on unaltered and streams event by event. What
-//! callers, upstreams and the store call things is the business of a [`Dialect`] and a
-//! [`StoreCodec`]; decisions are in `ivyweir_policy::gateway`.
+//! A gateway accepts requests from callers, looks up their route in the configuration, and forwards
+//! them to an upstream of the route's pool. It forwards bodies unmodified and streams event by
+//! event. A [`Dialect`] and a [`StoreCodec`] define the header names and message formats of callers,
+//! upstreams and the store; the decisions are made in `ivyweir_policy::gateway`.
 //!
 //! ```no_run
 //! use std::path::Path;
@@ -76,43 +76,44 @@
 pub use settings::{Bounds, DialectChoice, Machine, Settings};
 pub use settings_file::SettingsError;
 
-/// How often what is past its time is swept up.
-const SWEEP: Duration = Duration::from_millis(250);
-/// Left of the grace for the end itself.
-const END_MARGIN_MS: u64 = 250;
-/// How often the end of the last request is looked for.
-const POLL: Duration = Duration::from_millis(20);
+/// Interval at which expired state is removed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Part of the grace period reserved for the exit of the process after draining.
+const EXIT_MARGIN_MS: u64 = 250;
+/// Interval at which draining checks whether requests are still active.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs a box until it is told to stop by a signal.
+/// Runs a box until it receives SIGTERM, and drains it.
 ///
 /// # Errors
 ///
-/// When an address cannot be bound.
+/// When an address cannot be bound, or the log thread, the runtime or a signal handler cannot be
+/// created.
 pub fn run(settings: Settings, adapter: Adapter) -> io::Result<()> {
     let clock = Clock::start();
     let log = Log::start(clock.clone())?;
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let ended = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let (settings, listeners) = Listeners::bind(settings)?;
         let gateway = Gateway::new(settings, clock, adapter, log.clone());
         serve(Arc::new(gateway), listeners).await
     });
     log.finish();
-    ended
+    result
 }
 
-/// Everything a box listens on.
+/// Listening sockets of a box.
 struct Listeners {
     callers: TcpListener,
-    balancer: TcpListener,
+    readiness: TcpListener,
     metrics: TcpListener,
     peers: TcpListener,
 }
 
 impl Listeners {
-    /// Binds all addresses; the settings returned name the ports that port 0 stood for.
+    /// Binds all addresses. In the returned settings, port 0 is replaced by the assigned port.
     fn bind(mut settings: Settings) -> io::Result<(Settings, Self)> {
         let bind = |addr: &mut SocketAddr| {
             let listener = server::bind(*addr)?;
@@ -121,7 +122,7 @@
         };
         let listeners = Self {
             callers: bind(&mut settings.caller_addr)?,
-            balancer: bind(&mut settings.ready_addr)?,
+            readiness: bind(&mut settings.ready_addr)?,
             metrics: bind(&mut settings.metrics_addr)?,
             peers: bind(&mut settings.peer_addr)?,
         };
@@ -129,13 +130,13 @@
     }
 }
 
-/// Serves until a signal says to stop, and then until the last request has ended.
+/// Serves until SIGTERM, and then drains. SIGHUP reloads the seeds.
 async fn serve(gateway: Arc<Gateway>, listeners: Listeners) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     log_start(&gateway);
-    let (stop, stopped) = watch::channel(false);
-    let server = spawn_tasks(&gateway, listeners, stopped);
+    let (stop, stop_signal) = watch::channel(false);
+    let server = spawn_tasks(&gateway, listeners, stop_signal);
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -163,11 +164,11 @@
     gateway.log.line("started", detail);
 }
 
-/// Starts all that a box does; returns the task that serves callers.
+/// Spawns the tasks of a box; returns the task that serves callers.
 fn spawn_tasks(
     gateway: &Arc<Gateway>,
     listeners: Listeners,
-    stopped: watch::Receiver<bool>,
+    stop_signal: watch::Receiver<bool>,
 ) -> JoinHandle<()> {
     for topic in gateway.topics() {
         tokio::spawn(sync::follow(gateway.clone(), *topic));
@@ -181,41 +182,43 @@
     tokio::spawn(words::exchange(gateway.clone()));
     tokio::spawn(server::serve_peers(gateway.clone(), listeners.peers));
     tokio::spawn(sweep(gateway.clone()));
-    let (balancer, metrics) = (listeners.balancer, listeners.metrics);
-    tokio::spawn(server::serve_text(balancer, answer_balancer(gateway)));
-    tokio::spawn(server::serve_text(metrics, answer_metrics(gateway)));
-    let callers = server::serve_callers(gateway.clone(), listeners.callers, stopped);
+    let (readiness, metrics) = (listeners.readiness, listeners.metrics);
+    tokio::spawn(server::serve_text(readiness, readiness_handler(gateway)));
+    tokio::spawn(server::serve_text(metrics, metrics_handler(gateway)));
+    let callers = server::serve_callers(gateway.clone(), listeners.callers, stop_signal);
     tokio::spawn(callers)
 }
 
-/// Waits until the balancer has noticed and the last request has ended, within the grace.
+/// Fails readiness checks, stops accepting callers once the load balancer has noticed, and waits
+/// for the active requests to end, all within the grace period.
 async fn drain(gateway: &Arc<Gateway>, stop: &watch::Sender<bool>) {
     gateway.stop();
     gateway
         .log
         .line("stopping", json!({"requests": gateway.active()}));
     let grace_ms = gateway.settings.bounds.stop_grace_ms();
-    let end = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(END_MARGIN_MS));
+    let deadline = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
     let notice = Duration::from_millis(admit::STOP_NOTICE_MS);
-    sleep_until(end.min(Instant::now() + notice)).await;
-    // The receiver lives as long as the server's task.
-    let _server_gone = stop.send(true);
-    sleep(POLL).await;
-    while gateway.active() > 0 && Instant::now() < end {
-        sleep(POLL).await;
+    sleep_until(deadline.min(Instant::now() + notice)).await;
+    // Fails only if the server task, which holds the receiver, has ended already.
+    let _ignored = stop.send(true);
+    sleep(DRAIN_POLL_INTERVAL).await;
+    while gateway.active() > 0 && Instant::now() < deadline {
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // The last answers leave the kernel's buffers.
-    sleep(POLL).await;
+    // Gives the kernel time to send the last responses.
+    sleep(DRAIN_POLL_INTERVAL).await;
 }
 
-/// Sweeps now and then, and tells when readiness changes.
+/// Periodically removes expired state, handles suspensions of the machine, and logs changes of
+/// readiness.
 async fn sweep(gateway: Arc<Gateway>) {
     let mut was_ready = false;
-    let mut suspension = SuspensionDetector::start(&gateway.clock);
+    let mut detector = SuspensionDetector::start(&gateway.clock);
     loop {
-        sleep(SWEEP).await;
-        if let Some(lasted_ms) = suspension.poll(&gateway.clock) {
-            gateway.woke(lasted_ms);
+        sleep(SWEEP_INTERVAL).await;
+        if let Some(suspended_ms) = detector.poll(&gateway.clock) {
+            gateway.woke(suspended_ms);
         }
         gateway.sweep();
         let ready = gateway.is_ready();
@@ -227,7 +230,7 @@
     }
 }
 
-fn answer_balancer(
+fn readiness_handler(
     gateway: &Arc<Gateway>,
 ) -> impl Fn(&str) -> (StatusCode, String) + Clone + Send + 'static {
     let gateway = gateway.clone();
@@ -243,26 +246,26 @@
     }
 }
 
-fn answer_metrics(
+fn metrics_handler(
     gateway: &Arc<Gateway>,
 ) -> impl Fn(&str) -> (StatusCode, String) + Clone + Send + 'static {
     let gateway = gateway.clone();
     move |_| {
-        let belief = |what: &str, value: u64| {
-            let gauge = gateway.metrics.state_gauges.with_label_values(&[what]);
+        let set_gauge = |name: &str, value: u64| {
+            let gauge = gateway.metrics.state_gauges.with_label_values(&[name]);
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
         };
         let site = gateway.site();
-        belief("site_version", site.map_or(0, |site| site.site().version));
-        belief("proof_age_ms", gateway.proof_age_ms().unwrap_or(u64::MAX));
-        belief("store_era", gateway.store_era().unwrap_or_default());
+        set_gauge("site_version", site.map_or(0, |site| site.site().version));
+        set_gauge("proof_age_ms", gateway.proof_age_ms().unwrap_or(u64::MAX));
+        set_gauge("store_era", gateway.store_era().unwrap_or_default());
         for topic in gateway.topics() {
             let revision = gateway.histories.revision(*topic);
-            belief(&format!("revision_{}", topic.name()), revision.number);
+            set_gauge(&format!("revision_{}", topic.name()), revision.number);
         }
-        belief("requests_active", gateway.active());
-        belief("requests_quarantined", gateway.quarantined().len() as u64);
-        belief("log_lines_dropped", gateway.log.dropped());
+        set_gauge("requests_active", gateway.active());
+        set_gauge("requests_quarantined", gateway.quarantined().len() as u64);
+        set_gauge("log_lines_dropped", gateway.log.dropped());
         (StatusCode::OK, gateway.metrics.text())
     }
 }
--- a/crates/ivyweir-gateway/src/log.rs
+++ b/crates/ivyweir-gateway/src/log.rs
@@ -1,9 +1,9 @@
-//! The decision log: JSON lines on standard output, bounded and never waited for.
+//! Decision log: JSON lines on standard output, bounded and non-blocking.
 //!
-//! Lines go through a bounded queue to one writer thread. What does not fit is dropped, counted,
-//! and told in the log itself. The lines of a request are gathered and written when it ends: always
-//! for a request that failed, and for others up to a number a second. So a request has either all
-//! its lines or none.
+//! Lines go through a bounded queue to one writer thread. Lines that do not fit are dropped and
+//! counted, and the log reports their number. The lines of a request are buffered and written when
+//! it ends, up to a number of requests per second that is larger for failed requests. So a request
+//! is logged either completely or not at all, unless the queue is full.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -17,34 +17,35 @@
 
 use crate::clock::{Clock, epoch_ms};
 
-/// Lines that wait for the writer.
-const QUEUE_LINES: usize = 2_048;
-/// Time for which the writer lets lines gather, so that it wakes seldom.
-const GATHER: Duration = Duration::from_millis(100);
-/// Requests without failure whose lines are kept, a second.
-const ROUTINE_PER_S: u32 = 20;
-/// Requests with a failure whose lines are kept, a second.
+/// Maximum number of lines queued for the writer.
+const QUEUE_CAPACITY: usize = 2_048;
+/// Delay before the writer writes a batch, which limits how often it wakes up.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Maximum number of requests without failure logged per second.
+const SUCCEEDED_PER_S: u32 = 20;
+/// Maximum number of failed requests logged per second.
 const FAILED_PER_S: u32 = 100;
 const WRITER_STACK_BYTES: usize = 64 << 10;
 
-/// Writes decisions.
+/// Handle to the decision log.
 #[derive(Debug, Clone)]
 pub struct Log {
     queue: Sender<String>,
     clock: Clock,
     dropped: Arc<AtomicU64>,
-    kept: Arc<Mutex<Kept>>,
+    sampled: Arc<Mutex<SampleCounts>>,
 }
 
+/// Requests that ended in the current second.
 #[derive(Debug, Default)]
-struct Kept {
+struct SampleCounts {
     second: u64,
-    routine: u32,
+    succeeded: u32,
     failed: u32,
 }
 
 impl Log {
-    /// Starts the writer on standard output.
+    /// Starts the writer thread on standard output.
     ///
     /// # Errors
     ///
@@ -53,18 +54,18 @@
         Self::start_on(clock, std::io::stdout())
     }
 
-    /// Starts the writer on `out`.
+    /// Starts the writer thread on `out`.
     ///
     /// # Errors
     ///
     /// When no thread can be made.
     pub fn start_on(clock: Clock, out: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let (queue, lines) = bounded(QUEUE_LINES);
+        let (queue, lines) = bounded(QUEUE_CAPACITY);
         let log = Self {
             queue,
             clock,
             dropped: Arc::default(),
-            kept: Arc::default(),
+            sampled: Arc::default(),
         };
         let dropped = log.dropped.clone();
         thread::Builder::new()
@@ -74,31 +75,31 @@
         Ok(log)
     }
 
-    /// Writes a line about what the process believes.
+    /// Writes a line that belongs to no request.
     pub fn line(&self, event: &str, detail: Value) {
         self.write(self.clock.now_ms(), event, None, detail);
     }
 
-    /// Lines that were dropped since the start.
+    /// Number of lines dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits a moment for the writer, at the end of the process.
+    /// Waits a limited time for the writer to empty the queue, at the exit of the process.
     pub fn finish(&self) {
         const TRIES: u32 = 5;
         for _ in 0..TRIES {
             if self.queue.is_empty() {
                 break;
             }
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_DELAY);
         }
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
     }
 
     fn write(&self, at_ms: u64, event: &str, request_id: Option<&str>, detail: Value) {
         let mut line = Map::new();
-        // Lines of a request are written when it ends; each tells when its step was.
+        // The lines of a request are written when it ends, but keep the time of their step.
         let ago_ms = self.clock.now_ms().saturating_sub(at_ms);
         line.insert("epoch_ms".into(), epoch_ms().saturating_sub(ago_ms).into());
         line.insert("at_ms".into(), at_ms.into());
@@ -118,19 +119,19 @@
         }
     }
 
-    fn keeps(&self, failed: bool) -> bool {
+    fn is_sampled(&self, failed: bool) -> bool {
         let second = self.clock.now_ms() / 1_000;
-        let mut kept = self.kept.lock().expect("invariant: no holder panics");
-        if kept.second != second {
-            *kept = Kept {
+        let mut counts = self.sampled.lock().expect("invariant: no holder panics");
+        if counts.second != second {
+            *counts = SampleCounts {
                 second,
-                ..Kept::default()
+                ..SampleCounts::default()
             };
         }
         let (count, limit) = if failed {
-            (&mut kept.failed, FAILED_PER_S)
+            (&mut counts.failed, FAILED_PER_S)
         } else {
-            (&mut kept.routine, ROUTINE_PER_S)
+            (&mut counts.succeeded, SUCCEEDED_PER_S)
         };
         *count += 1;
         *count <= limit
@@ -138,30 +139,30 @@
 }
 
 fn write_lines(lines: &Receiver<String>, dropped: &AtomicU64, mut out: impl Write) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(first) = lines.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
         let mut text = first;
         text.push('\n');
         for line in lines.try_iter() {
             text.push_str(&line);
             text.push('\n');
         }
-        let now = dropped.load(Ordering::Relaxed);
-        if now > told {
-            let lost = now - told;
+        let total = dropped.load(Ordering::Relaxed);
+        if total > reported {
+            let lost = total - reported;
             text.push_str(&format!(
                 "{{\"event\":\"log_lines_dropped\",\"lines\":{lost}}}\n"
             ));
-            told = now;
+            reported = total;
         }
-        // A reader that is gone ends the log, not the process.
-        let _reader_gone = out.write_all(text.as_bytes());
-        let _reader_gone = out.flush();
+        // If the reader has closed the pipe, only the log is lost; the process goes on.
+        let _ignored = out.write_all(text.as_bytes());
+        let _ignored = out.flush();
     }
 }
 
-/// The lines of one request, until it ends.
+/// Buffered lines of one request, written or discarded when it ends.
 #[derive(Debug)]
 pub struct Trace {
     log: Log,
@@ -171,7 +172,7 @@
 }
 
 impl Trace {
-    /// Starts the lines of a request.
+    /// Creates the buffer of a request.
     pub fn new(log: Log, request_id: Arc<str>) -> Self {
         Self {
             log,
@@ -181,12 +182,11 @@
         }
     }
 
-    /// Adds a line.
     pub fn step(&mut self, event: &'static str, detail: Value) {
         self.steps.push((self.log.clock.now_ms(), event, detail));
     }
 
-    /// Adds a line about a failure; the request's lines are kept.
+    /// Adds a line about a failure and marks the request as failed.
     pub fn fail(&mut self, event: &'static str, detail: Value) {
         self.failed = true;
         self.step(event, detail);
@@ -195,7 +195,7 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        if !self.log.keeps(self.failed) {
+        if !self.log.is_sampled(self.failed) {
             return;
         }
         for (at_ms, event, detail) in self.steps.drain(..) {
