--- a/crates/ivyweir-gateway/src/clock.rs
+++ b/crates/ivyweir-gateway/src/clock.rs
@@ -1,26 +1,27 @@
-//! The clock of a process: it never steps, and it counts the time for which the machine is suspended.
+//! Monotonic clock that includes the time for which the machine is suspended.
 //!
-//! All ages that must not be believed too long are on it: of proofs, lists, words, sessions, cold times, deadlines,
-//! budgets and kept connections. A clock that stands still in suspension would take a proof from before for a fresh
-//! one, and send with a key that was withdrawn meanwhile. Timers of the runtime stand still all the same; what
-//! sleeps looks at this clock when it wakes.
+//! It measures everything that expires: proofs, lists, messages of other boxes, sessions, cold
+//! periods, deadlines, budgets and pooled connections. With a clock that stops during suspension, a
+//! box would take an old proof for a fresh one and forward requests with a key that was withdrawn
+//! meanwhile. The timers of the async runtime do stop, so a task checks this clock when it wakes
+//! up.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// A source of time that never goes back.
+/// A monotonic time source.
 pub trait TimeSource: Send + Sync {
-    /// Time since some moment that stays the same.
+    /// Returns the time since a fixed moment.
     fn elapsed(&self) -> Duration;
 }
 
-/// Time since the machine booted, suspension included.
+/// Time since the machine booted, including suspension.
 #[derive(Debug, Clone, Copy)]
-struct SinceBoot;
+struct BootTimeSource;
 
-impl TimeSource for SinceBoot {
+impl TimeSource for BootTimeSource {
     fn elapsed(&self) -> Duration {
         let now = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(now.tv_sec).unwrap_or(0);
@@ -29,7 +30,7 @@
     }
 }
 
-/// Counts milliseconds since the process started.
+/// Clock that counts milliseconds since its start.
 #[derive(Clone)]
 pub struct Clock {
     source: Arc<dyn TimeSource>,
@@ -37,23 +38,24 @@
 }
 
 impl Clock {
-    /// A clock that starts now, on the machine's time since it booted.
+    /// Starts a clock on the machine's boot time.
     pub fn start() -> Self {
-        Self::with_source(Arc::new(SinceBoot))
+        Self::with_source(Arc::new(BootTimeSource))
     }
 
-    /// A clock that starts now, on this source.
+    /// Starts a clock on the given time source.
     pub fn with_source(source: Arc<dyn TimeSource>) -> Self {
         let started = source.elapsed();
         Self { source, started }
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start.
     pub fn now_ms(&self) -> u64 {
         self.since_start().as_millis() as u64
     }
 
-    /// The runtime's instant of a time of this clock, as far as no suspension comes between.
+    /// Converts a time of this clock to an instant of the async runtime, which is correct unless
+    /// the machine is suspended in between.
     pub fn instant(&self, at_ms: u64) -> tokio::time::Instant {
         let left = Duration::from_millis(at_ms).saturating_sub(self.since_start());
         tokio::time::Instant::now() + left
@@ -72,11 +74,12 @@
     }
 }
 
-/// Time by which the clock must be ahead of the runtime's for a suspension: both are read one after the other, and
-/// a process that waits for its processor in between reads them some milliseconds apart.
-const SUSPENDED_MS: u64 = 100;
+/// Minimum lead of this clock over the runtime's that counts as a suspension. The clocks are read
+/// one after the other, so they differ by some milliseconds if the process is descheduled in
+/// between.
+const MIN_SUSPENSION_MS: u64 = 100;
 
-/// Notices that the machine was suspended: this clock went on, and the runtime's stood still.
+/// Detects that the machine was suspended, from the lead of this clock over the runtime's.
 #[derive(Debug)]
 pub struct SuspensionDetector {
     clock_ms: u64,
@@ -84,7 +87,7 @@
 }
 
 impl SuspensionDetector {
-    /// Notices suspensions from now on.
+    /// Starts detecting suspensions.
     pub fn start(clock: &Clock) -> Self {
         Self {
             clock_ms: clock.now_ms(),
@@ -92,16 +95,16 @@
         }
     }
 
-    /// How long the machine was suspended since the last look, if it was.
+    /// Returns how long the machine was suspended since the previous call, if it was.
     pub fn poll(&mut self, clock: &Clock) -> Option<u64> {
         let before = std::mem::replace(self, Self::start(clock));
-        let ran_ms = self.runtime.duration_since(before.runtime).as_millis() as u64;
-        let suspended_ms = (self.clock_ms - before.clock_ms).saturating_sub(ran_ms);
-        (suspended_ms >= SUSPENDED_MS).then_some(suspended_ms)
+        let runtime_ms = self.runtime.duration_since(before.runtime).as_millis() as u64;
+        let suspended_ms = (self.clock_ms - before.clock_ms).saturating_sub(runtime_ms);
+        (suspended_ms >= MIN_SUSPENSION_MS).then_some(suspended_ms)
     }
 }
 
-/// Time of day for log lines, in milliseconds since 1970; it may step.
+/// Wall-clock time for log lines, in milliseconds since 1970. It may jump.
 pub fn epoch_ms() -> u64 {
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
     since_1970.map_or(0, |age| age.as_millis() as u64)
--- a/crates/ivyweir-gateway/src/lib.rs
+++ b/crates/ivyweir-gateway/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A gateway accepts requests from callers, looks up their route in the configuration, and forwards
 //! them to an upstream of the route's pool. It forwards bodies unmodified and streams event by
-//! event. A [`Dialect`] and a [`StoreCodec`] define the header names and message formats of callers,
-//! upstreams and the store; the decisions are made in `ivyweir_policy::gateway`.
+//! event. A [`Dialect`] and a [`StoreCodec`] define the header names and message formats of
+//! callers, upstreams and the store; the decisions are made in `ivyweir_policy::gateway`.
 //!
 //! ```no_run
 //! use std::path::Path;
--- a/crates/ivyweir-gateway/src/message.rs
+++ b/crates/ivyweir-gateway/src/message.rs
@@ -1,6 +1,8 @@
-//! Messages between boxes: JSON, deflated, since they are sent all the time and repeat their names.
+//! Messages between boxes: JSON compressed with zlib, since they are frequent and repeat field
+//! names.
 //!
-//! Deflating took a seventh off all bytes between the halls of six boxes, callers' requests included.
+//! With six boxes, compression reduced the total traffic between halls by a seventh, including
+//! callers' requests.
 
 use std::io::{self, Read, Write};
 
@@ -11,25 +13,26 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Length up to which a message is sent as it is: it would hardly become shorter.
-const SHORT_BYTES: usize = 160;
+/// Maximum length of an uncompressed message. Compression hardly shortens messages up to this
+/// length.
+const MAX_UNCOMPRESSED_BYTES: usize = 160;
 
-/// A message's bytes.
+/// Serializes a message, compressing it if it is long.
 pub fn encode(message: &impl Serialize) -> Bytes {
-    let json = serde_json::to_vec(message).expect("invariant: messages are valid JSON");
-    if json.len() <= SHORT_BYTES {
+    let json = serde_json::to_vec(message).expect("invariant: messages serialize to JSON");
+    if json.len() <= MAX_UNCOMPRESSED_BYTES {
         return Bytes::from(json);
     }
-    let mut deflated = ZlibEncoder::new(Vec::new(), Compression::fast());
-    let written = deflated.write_all(&json).and_then(|()| deflated.finish());
-    Bytes::from(written.expect("invariant: memory takes all writes"))
+    let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
+    let compressed = encoder.write_all(&json).and_then(|()| encoder.finish());
+    Bytes::from(compressed.expect("invariant: writing to memory does not fail"))
 }
 
-/// Reads a message, deflated or not, of at most `max_bytes` of JSON.
+/// Deserializes a message, compressed or not, of at most `max_bytes` of JSON if compressed.
 ///
 /// # Errors
 ///
-/// When it is longer, or has another form.
+/// When a compressed message exceeds `max_bytes`, or the bytes are not a valid message.
 pub fn decode<M: DeserializeOwned>(bytes: &[u8], max_bytes: usize) -> io::Result<M> {
     if bytes.first() == Some(&b'{') {
         return Ok(serde_json::from_slice(bytes)?);
@@ -38,7 +41,9 @@
     let limit = max_bytes as u64 + 1;
     ZlibDecoder::new(bytes).take(limit).read_to_end(&mut json)?;
     if json.len() > max_bytes {
-        return Err(io::Error::other(format!("longer than {max_bytes} bytes")));
+        return Err(io::Error::other(format!(
+            "message exceeds {max_bytes} bytes after decompression"
+        )));
     }
     Ok(serde_json::from_slice(&json)?)
 }
--- a/crates/ivyweir-gateway/src/metrics.rs
+++ b/crates/ivyweir-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, served as text.
+//! Prometheus metrics of a box.
 
 use prometheus::{
     HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder,
@@ -7,29 +7,32 @@
 /// Upper bounds of the latency histogram, in seconds.
 const LATENCY_BUCKETS_S: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 1.5, 3.0, 10.0, 25.0];
 
-/// What a box counts; every label has few values.
+/// Metrics of a box. Every label has a small set of values.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests by route and outcome.
+    /// Requests from callers, by route and outcome.
     pub requests: IntCounterVec,
-    /// Sends to upstreams by pool and outcome.
+    /// Requests sent to upstreams, by pool and outcome.
     pub sends: IntCounterVec,
-    /// What upstreams said of themselves in answers, by pool and what they said.
+    /// Responses in which upstreams state that they are leaving, want no requests or have a limit,
+    /// by pool and statement.
     pub upstream_statements: IntCounterVec,
-    /// Answers with a header of the dialect's that nobody reads, by its name.
+    /// Responses with a header that has the dialect's prefix but is not read, by header name.
     pub unread_headers: IntCounterVec,
-    /// Upstreams that ended while requests of this box were there, by pool.
+    /// Upstreams that ended while they had requests of this box, by pool.
     pub upstream_ends: IntCounterVec,
-    /// Records of the store that could not be read, by topic and fault, each counted when it turned so.
+    /// Store records that became invalid, by topic and fault. Each is counted once, when it becomes
+    /// invalid.
     pub unreadable_records: IntCounterVec,
-    /// Calls to the store by topic and outcome.
+    /// Calls to the store, by topic and outcome.
     pub store_calls: IntCounterVec,
-    /// Calls of duties to the platform, by duty and outcome.
+    /// Duty calls to the platform, by duty and outcome.
     pub duty_calls: IntCounterVec,
-    /// Time to the head of the answer by route.
+    /// Time to the response head, by route.
     pub head_latency: HistogramVec,
-    /// What the box believes: configuration version, ready upstreams, proof age, log lines dropped.
+    /// State of the box: configuration version, proof age, store era, topic revisions, active and
+    /// quarantined requests, and dropped log lines.
     pub state_gauges: IntGaugeVec,
 }
 
@@ -38,10 +41,10 @@
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
             let counter = IntCounterVec::new(Opts::new(name, help), labels)
-                .expect("invariant: the name is valid");
+                .expect("invariant: the metric name is valid");
             registry
                 .register(Box::new(counter.clone()))
-                .expect("invariant: names differ");
+                .expect("invariant: metric names are unique");
             counter
         };
         let requests = counter(
@@ -86,18 +89,18 @@
         );
         let opts = HistogramOpts::new("ivyweir_head_latency_s", "time to the head of an answer");
         let head_latency = HistogramVec::new(opts.buckets(LATENCY_BUCKETS_S.to_vec()), &["route"])
-            .expect("invariant: the name is valid");
+            .expect("invariant: the metric name is valid");
         let state_gauges = IntGaugeVec::new(
             Opts::new("ivyweir_belief", "what the box believes"),
             &["what"],
         )
-        .expect("invariant: the name is valid");
+        .expect("invariant: the metric name is valid");
         registry
             .register(Box::new(head_latency.clone()))
-            .expect("invariant: names differ");
+            .expect("invariant: metric names are unique");
         registry
             .register(Box::new(state_gauges.clone()))
-            .expect("invariant: names differ");
+            .expect("invariant: metric names are unique");
         Self {
             registry,
             requests,
@@ -115,10 +118,10 @@
 }
 
 impl Metrics {
-    /// All of them in the text format of Prometheus.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let families = self.registry.gather();
-        // The encoder fails only on families without a name.
+        // The encoder fails only on metric families without a name.
         TextEncoder::new()
             .encode_to_string(&families)
             .unwrap_or_default()
--- a/crates/ivyweir-gateway/src/server.rs
+++ b/crates/ivyweir-gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Listens for callers, other boxes, the balancer and readers of metrics.
+//! HTTP servers for callers, other boxes, readiness checks and metrics.
 
 use std::convert::Infallible;
 use std::io;
@@ -20,37 +20,38 @@
 use crate::state::Gateway;
 use crate::{follow, join, pipeline, words};
 
-/// Idle time of a caller's connection before a configuration tells it.
-const IDLE_DEFAULT_MS: u64 = 15_000;
-/// Bytes of a connection's read buffer; heads are at most this long.
-const MAX_BUF_BYTES: usize = 32 << 10;
-/// Descriptors kept for files, connections to upstreams and the store.
+/// Idle timeout of callers' connections if the configuration is not known or sets none.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
+/// Size of a connection's read buffer, which is also the maximum length of a request head.
+const MAX_READ_BUFFER_BYTES: usize = 32 << 10;
+/// File descriptors reserved for files and connections to upstreams and the store.
 const RESERVED_FDS: u64 = 1_200;
 const MIN_CONNECTIONS: u64 = 256;
-/// Pause after a connection that could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+/// Delay before the next attempt after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of connections waiting to be accepted.
+const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Accepts callers until told to stop, then lets their requests end.
+/// Serves callers until `stop` changes, then shuts their connections down gracefully.
 pub async fn serve_callers(
     gateway: Arc<Gateway>,
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
 ) {
     let graceful = GracefulShutdown::new();
-    let room = gateway
+    let max_connections = gateway
         .settings
         .machine
         .max_fds
         .saturating_sub(RESERVED_FDS);
-    let connections = Arc::new(Semaphore::new(room.max(MIN_CONNECTIONS) as usize));
+    let connections = Arc::new(Semaphore::new(max_connections.max(MIN_CONNECTIONS) as usize));
     loop {
         let stream = tokio::select! {
             stream = accept(&listener) => stream,
             _ = stop.changed() => break,
         };
-        // Where there is no room, or the caller has left already, the connection is closed.
+        // Above the connection limit, or if the caller has disconnected already, the connection is
+        // closed.
         let Ok(permit) = connections.clone().try_acquire_owned() else {
             continue;
         };
@@ -58,7 +59,7 @@
             continue;
         }
         let limits = gateway.site().and_then(|site| site.site().limits);
-        let idle_ms = limits.map_or(IDLE_DEFAULT_MS, |l| l.idle_timeout_ms);
+        let idle_ms = limits.map_or(DEFAULT_IDLE_TIMEOUT_MS, |l| l.idle_timeout_ms);
         let gateway = gateway.clone();
         let service = service_fn(move |request: Request<Incoming>| {
             let gateway = gateway.clone();
@@ -67,46 +68,49 @@
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(Duration::from_millis(idle_ms))
-            .max_buf_size(MAX_BUF_BYTES)
+            .max_buf_size(MAX_READ_BUFFER_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         let watched = graceful.watch(connection);
         tokio::spawn(async move {
-            // A caller that leaves ends its own request; there is nobody to tell.
-            let _caller_left = watched.await;
+            // An error means that the caller has disconnected, so there is nobody to report it to.
+            let _ignored = watched.await;
             drop(permit);
         });
     }
     graceful.shutdown().await;
 }
 
-/// The next connection; one that could not be accepted is passed over.
+/// Returns the next connection, retrying after errors.
 async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Answers other boxes.
+/// Serves other boxes.
 pub async fn serve_peers(gateway: Arc<Gateway>, listener: TcpListener) {
     loop {
         let stream = accept(&listener).await;
         let gateway = gateway.clone();
         let service = service_fn(move |request: Request<Incoming>| {
             let gateway = gateway.clone();
-            async move { Ok::<_, Infallible>(answer_box(gateway, request).await) }
+            async move { Ok::<_, Infallible>(handle_peer_request(gateway, request).await) }
         });
-        let _best_effort = stream.set_nodelay(true);
+        let _ignored = stream.set_nodelay(true);
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            let _box_left = connection.await;
+            let _ignored = connection.await;
         });
     }
 }
 
-async fn answer_box(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle_peer_request(
+    gateway: Arc<Gateway>,
+    request: Request<Incoming>,
+) -> Response<AnswerBody> {
     if gateway.stopping_for_ms().is_some() {
         return bare(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -119,33 +123,33 @@
     }
 }
 
-/// Answers the balancer, and readers of metrics, one short answer a request.
+/// Serves readiness checks or metrics: `handler` returns status and text for a path.
 pub async fn serve_text(
     listener: TcpListener,
-    answer: impl Fn(&str) -> (StatusCode, String) + Clone + Send + 'static,
+    handler: impl Fn(&str) -> (StatusCode, String) + Clone + Send + 'static,
 ) {
     loop {
         let stream = accept(&listener).await;
-        let answer = answer.clone();
+        let handler = handler.clone();
         let service = service_fn(move |request: Request<Incoming>| {
-            let (status, text) = answer(request.uri().path());
+            let (status, text) = handler(request.uri().path());
             async move { Ok::<_, Infallible>(plain(status, text)) }
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            let _reader_left = connection.await;
+            let _ignored = connection.await;
         });
     }
 }
 
-/// Binds an address so that a process that is started again gets it at once.
+/// Binds an address with `SO_REUSEADDR`, so that a restarted process can bind it immediately.
 ///
 /// # Errors
 ///
-/// When the address is taken or not this host's.
+/// When the address is in use, is not an address of this host, or is not IPv4.
 pub fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
--- a/crates/ivyweir-gateway/src/settings.rs
+++ b/crates/ivyweir-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The gateway's settings file: strict JSON whose errors name the field.
+//! The gateway's settings file: strict JSON with errors that name the field.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,84 +12,85 @@
 
 use crate::settings_file::{self, RangeSnafu, SettingsError};
 
-/// Whose names callers, upstreams and the store use.
+/// Header names and message formats that callers, upstreams and the store use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DialectChoice {
-    /// The gateway's own.
+    /// The gateway's own names and formats.
     #[default]
     Native,
-    /// Those of the users' platform.
+    /// Names and formats of the users' platform.
     Platform,
 }
 
-/// What a gateway process is told at its start.
+/// Settings of a gateway process, read at its start.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The box's name.
+    /// Name of the box.
     pub box_name: Name,
-    /// Its hall.
+    /// Data hall of the box.
     pub hall: Name,
-    /// Whose names are used.
+    /// Dialect of callers, upstreams and the store.
     #[serde(default)]
     pub dialect: DialectChoice,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub caller_addr: SocketAddr,
-    /// Where the balancer asks.
+    /// Listening address for readiness checks of the load balancer.
     pub ready_addr: SocketAddr,
-    /// Where metrics are served.
+    /// Listening address for metrics.
     pub metrics_addr: SocketAddr,
-    /// Where other boxes connect.
+    /// Listening address for other boxes.
     pub peer_addr: SocketAddr,
-    /// Where some boxes, the seeds, are found by others; this box may be one of them.
+    /// Addresses of the seed boxes, through which boxes discover each other. This box may be one of
+    /// them.
     #[serde(default)]
     pub seed_addrs: Vec<SocketAddr>,
-    /// Where the store is.
+    /// Address of the store.
     pub store_addr: SocketAddr,
-    /// What the machine gives.
+    /// Resource limits of the process.
     pub machine: Machine,
-    /// What the operators promise.
+    /// Bounds that the operators guarantee to their users.
     pub bounds: Bounds,
-    /// What the operators choose.
+    /// Choices of the operators.
     #[serde(default)]
     pub policy: Policy,
-    /// Duties that one box does for all, where the platform asks for them.
+    /// Duties that one box performs for the whole fleet, if the platform requires them.
     #[serde(default)]
     pub duties: Option<Duties>,
-    /// The file that this was read from, if there is one.
+    /// Path of the file that the settings were read from, if any.
     #[serde(skip)]
     pub file: Option<PathBuf>,
 }
 
-/// Calls to the platform that one box makes for all.
+/// Settings of the duties: calls to the platform that one box makes for the whole fleet.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Duties {
-    /// Where the platform takes them.
+    /// Address at which the platform receives the calls.
     pub addr: SocketAddr,
-    /// Time for which a box that proved to hold the duties may act on that.
+    /// Time for which a box may perform the duties after proving that it holds them.
     pub lease_ms: u64,
-    /// Reports of usage, where they are asked for.
+    /// Usage reports, if the platform requires them.
     #[serde(default)]
     pub usage: Option<Usage>,
-    /// Whether upstreams are ordered of pools whose configuration tells how many there may be.
+    /// Whether upstreams are ordered for pools whose configuration states how many they may have.
     #[serde(default)]
     pub order_upstreams: bool,
 }
 
-/// Reports of usage.
+/// Settings of the usage reports.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Usage {
-    /// Length of a window.
+    /// Length of a reporting window.
     pub window_s: f64,
-    /// Time between a window's end and when its report is due.
+    /// Time between the end of a window and the due time of its report.
     pub late_s: f64,
 }
 
 impl Usage {
-    /// When windows are fixed and reported.
+    /// Returns the window and report times in milliseconds.
     pub fn schedule(&self) -> UsageSchedule {
         UsageSchedule {
             window_ms: (self.window_s * 1_000.0) as u64,
@@ -102,79 +103,82 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// What becomes of keyed requests while the configuration is unproven.
+    /// Handling of requests with a key while the configuration is not proven to be the newest.
     pub unproven_keys: UnprovenKeys,
-    /// Time of an engine that costs as much as sending a request to another hall.
+    /// Cost of sending a request to another hall, expressed as engine time.
     pub far_engine_ms: f64,
-    /// Confidence, 0 to 100, under which a larger model is asked; 0 to ask none.
+    /// Confidence, 0 to 100, below which the request is sent to a larger model; 0 disables this.
     pub confidence_floor: u8,
-    /// Whether the pace of engines is learned from their answers.
+    /// Whether the speed of engines is estimated from their responses.
     pub learn_pace: bool,
-    /// Whether requests with a shared prompt part are drawn to an engine that keeps it.
+    /// Whether requests with a shared prompt segment are preferably sent to an engine that has it
+    /// cached.
     pub draw_shared: bool,
-    /// Whether engines are told which prompts to read first.
+    /// Whether requests carry a priority for the engine's queue.
     pub rank_prompts: bool,
-    /// Whether other boxes' work counts in an engine's load.
+    /// Whether the load of an engine includes work sent by other boxes.
     pub hear_work: bool,
-    /// Whether upstreams that failed lately are passed over.
+    /// Whether upstreams with recent failures are skipped.
     pub avoid_failing: bool,
-    /// Longest time for which an upstream that says so is left alone.
+    /// Maximum back-off that an upstream can request.
     pub max_backoff_ms: u64,
-    /// Time after a restore of the store during which operators and upstreams repeat the lost writes.
+    /// Time after a restore of the store in which operators and upstreams repeat the lost writes.
     pub store_settle_ms: u64,
 }
 
-/// Upstreams write every one to two seconds; operators repeat their writes as soon as they see the restore.
-const STORE_SETTLE_MS: u64 = 2_000;
+/// Default of `store_settle_ms`. Upstreams write every one to two seconds, and operators repeat
+/// their writes as soon as they see the restore.
+const DEFAULT_STORE_SETTLE_MS: u64 = 2_000;
 
-/// Longest time for which an upstream is left alone on its own word. Overload passes within minutes; a time that a
-/// faulty upstream says, of days or years, would take it out of service until it starts again.
-const MAX_BACKOFF_MS: u64 = 600_000;
+/// Default of `max_backoff_ms`. Overload passes within minutes, whereas a back-off of days or years
+/// requested by a faulty upstream would take it out of service until its next start.
+const DEFAULT_MAX_BACKOFF_MS: u64 = 600_000;
 
-/// Sending to another hall, as time of an engine. Where bytes between halls cost a twentieth of all that
-/// is earned, 400 ms takes a third off them at hardly more late answers than 0 ms; where they cost a
-/// hundredth, 300 to 600 ms lose up to 0.014 of what is earned.
-const FAR_ENGINE_MS: f64 = 400.0;
+/// Default of `far_engine_ms`. If traffic between halls costs a twentieth of all revenue, 400 ms
+/// reduces that traffic by a third with hardly more late responses than 0 ms. If it costs a
+/// hundredth, 300 to 600 ms lose up to 0.014 of the revenue.
+const DEFAULT_FAR_ENGINE_MS: f64 = 400.0;
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
             unproven_keys: UnprovenKeys::default(),
-            far_engine_ms: FAR_ENGINE_MS,
+            far_engine_ms: DEFAULT_FAR_ENGINE_MS,
             confidence_floor: CONFIDENCE_FLOOR,
             learn_pace: true,
             draw_shared: true,
             rank_prompts: true,
             hear_work: true,
             avoid_failing: true,
-            max_backoff_ms: MAX_BACKOFF_MS,
-            store_settle_ms: STORE_SETTLE_MS,
+            max_backoff_ms: DEFAULT_MAX_BACKOFF_MS,
+            store_settle_ms: DEFAULT_STORE_SETTLE_MS,
         }
     }
 }
 
-/// What a box does with a keyed request once it has not heard for `revoke_ms` that its configuration
-/// is the newest.
+/// Handling of a request with a key if the box has had no proof for `revoke_ms` that its
+/// configuration is the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnprovenKeys {
-    /// Refuses it: no withdrawn key is honoured, and an outage of the store stops keyed work.
+    /// Rejects the request. No withdrawn key is accepted, but an outage of the store also blocks
+    /// all requests with a key.
     #[default]
     Refuse,
-    /// Serves it by the newest configuration known: an outage stops nothing, and a key that was
-    /// withdrawn meanwhile works until the box hears of it.
+    /// Serves the request under the newest known configuration. An outage of the store blocks
+    /// nothing, but a key withdrawn during it is accepted until the box learns of the withdrawal.
     Serve,
 }
 
-/// What the machine gives a process.
+/// Resource limits of the process.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Memory over which the process is killed.
+    /// Memory limit above which the process is killed.
     pub memory_mb: u64,
-    /// File descriptors, sockets among them.
+    /// Maximum number of file descriptors, including sockets.
     pub max_fds: u64,
-    /// Share of a processor core.
+    /// Number of processor cores, which may be a fraction.
     #[serde(default = "whole_core")]
     pub cpu_share: f64,
 }
@@ -183,76 +187,78 @@
     1.0
 }
 
-/// Bounds that the operators promise their users.
+/// Bounds that the operators guarantee to their users.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Time after which an upstream that leaves gets no more work.
+    /// Time after which a leaving upstream receives no more requests.
     pub leaving_ms: u64,
-    /// Time after which a configuration is in force.
+    /// Time after which a new configuration is in force.
     pub config_ms: u64,
-    /// Time after which a withdrawn key is not honoured by any box.
+    /// Time after which no box accepts a withdrawn key.
     pub revoke_ms: u64,
     /// Time between the order to stop and the end of the process.
     pub stop_grace_s: f64,
-    /// Time after which the upstreams of a hall that is drained get no more work; none where operators drain
-    /// no halls, and boxes do not ask for that.
+    /// Time after which the upstreams of a drained hall receive no more requests. `None` if
+    /// operators drain no halls; boxes do not follow drained halls then.
     #[serde(default)]
     pub hall_drain_ms: Option<u64>,
-    /// Repeats allowed for each request, over all boxes.
+    /// Maximum ratio of retries to requests, over all boxes.
     pub repeat_ratio: f64,
-    /// Repeats allowed beyond that, over all boxes.
+    /// Retries allowed in addition to that ratio, over all boxes.
     pub repeat_slack: f64,
-    /// Span over which repeats are counted.
+    /// Length of the window over which retries are counted.
     pub repeat_window_s: f64,
 }
 
-/// Part of the ratio that a box uses, since boxes count windows that do not coincide.
-const REPEAT_RATIO_USED: f64 = 0.85;
-/// Number of boxes among which the fleet's slack is shared out at least: boxes that just started do not
-/// know all others yet.
-const REPEAT_SLACK_BOXES: usize = 20;
+/// Fraction of the retry ratio that a box uses, since the counting windows of boxes do not
+/// coincide.
+const RETRY_RATIO_FRACTION: f64 = 0.85;
+/// Minimum number of boxes among which the fleet's retry slack is divided, since a box that has
+/// just started does not know all others yet.
+const MIN_RETRY_SLACK_BOXES: usize = 20;
 
-/// Part of the time for a leaving upstream's last work, and of that for a withdrawn key's, in which a box
-/// must notice that nobody renews its proof. It then has the rest to reach the store itself: some 0.3 s
-/// where a slow store answers, and 0.6 s to hear of upstreams too.
-const UNRENEWED_LEAVING: f64 = 0.7;
-const UNRENEWED_REVOKE: f64 = 0.4;
-/// Part of that time for which a watch of the root waits. When the root loses the store, the boxes that
-/// follow it hear so before they try the store themselves.
-const ROOT_WATCH: f64 = 0.43;
+/// Fractions of `leaving_ms` and `revoke_ms` within which a box must notice that its proof is not
+/// renewed. The remaining time is for reaching the store directly: about 0.3 s if the store is
+/// slow, and 0.6 s to read the upstreams too.
+const PROOF_RENEWAL_LEAVING_FRACTION: f64 = 0.7;
+const PROOF_RENEWAL_REVOKE_FRACTION: f64 = 0.4;
+/// Fraction of the proof renewal timeout that a watch of the root waits. When the root loses the
+/// store, the boxes that follow it learn so before they call the store themselves.
+const ROOT_WATCH_FRACTION: f64 = 0.43;
 
-/// Part of the time for a drained hall's last work for which a watch of drained halls waits. A store that
-/// lost an answer never gives it, so the next watch must hear what that one would have told.
-const HALL_DRAIN_WATCH: f64 = 0.5;
-/// The longest such wait, where operators leave much time.
-const HALL_DRAIN_WATCH_MAX_MS: u64 = 15_000;
+/// Fraction of `hall_drain_ms` that a watch of drained halls waits. A response that the store has
+/// lost never arrives, so the next watch must report the change within the bound.
+const HALL_DRAIN_WATCH_FRACTION: f64 = 0.5;
+/// Upper limit of that wait if `hall_drain_ms` is long.
+const MAX_HALL_DRAIN_WATCH_MS: u64 = 15_000;
 
 impl Bounds {
-    /// How long a watch of drained halls waits.
+    /// Time that a watch of drained halls waits for changes.
     pub fn hall_drain_watch_ms(&self) -> u64 {
-        let bound_ms = self.hall_drain_ms.unwrap_or(HALL_DRAIN_WATCH_MAX_MS);
-        let wait_ms = (bound_ms as f64 * HALL_DRAIN_WATCH) as u64;
-        wait_ms.min(HALL_DRAIN_WATCH_MAX_MS)
+        let bound_ms = self.hall_drain_ms.unwrap_or(MAX_HALL_DRAIN_WATCH_MS);
+        let wait_ms = (bound_ms as f64 * HALL_DRAIN_WATCH_FRACTION) as u64;
+        wait_ms.min(MAX_HALL_DRAIN_WATCH_MS)
     }
 
-    /// Time without a newer proof after which a box tries the store itself, whoever it follows.
+    /// Time without a newer proof after which a box calls the store itself, even if it follows
+    /// another box.
     pub fn proof_renewal_timeout_ms(&self) -> u64 {
-        let by_leaving_ms = self.leaving_ms as f64 * UNRENEWED_LEAVING;
-        let by_revoke_ms = self.revoke_ms as f64 * UNRENEWED_REVOKE;
+        let by_leaving_ms = self.leaving_ms as f64 * PROOF_RENEWAL_LEAVING_FRACTION;
+        let by_revoke_ms = self.revoke_ms as f64 * PROOF_RENEWAL_REVOKE_FRACTION;
         by_leaving_ms.min(by_revoke_ms) as u64
     }
 
-    /// How long the root's watch of the configuration waits.
+    /// Time that the root's watch of the configuration waits for changes.
     pub fn root_watch_ms(&self) -> u64 {
-        (self.proof_renewal_timeout_ms() as f64 * ROOT_WATCH) as u64
+        (self.proof_renewal_timeout_ms() as f64 * ROOT_WATCH_FRACTION) as u64
     }
 
-    /// This box's own part of the bounds on repeats of a fleet of so many boxes.
+    /// Returns this box's share of the retry limits of a fleet with this many boxes.
     pub fn retry_limits(&self, boxes: usize) -> RetryLimits {
         RetryLimits {
-            ratio: self.repeat_ratio * REPEAT_RATIO_USED,
-            slack: self.repeat_slack / boxes.max(REPEAT_SLACK_BOXES) as f64,
+            ratio: self.repeat_ratio * RETRY_RATIO_FRACTION,
+            slack: self.repeat_slack / boxes.max(MIN_RETRY_SLACK_BOXES) as f64,
             fleet_slack: self.repeat_slack,
             window_ms: (self.repeat_window_s * 1_000.0) as u64,
         }
@@ -269,7 +275,8 @@
     ///
     /// # Errors
     ///
-    /// When it cannot be read, has an unknown or missing field, or a value out of range.
+    /// When the file cannot be read, is not valid JSON, has an unknown, missing or wrongly typed
+    /// field, or has a value out of range.
     pub fn from_file(file: &Path) -> Result<Self, SettingsError> {
         let mut settings: Self = settings_file::read(file)?;
         settings.check()?;
@@ -277,7 +284,7 @@
         Ok(settings)
     }
 
-    /// Checks settings; `name` stands in errors.
+    /// Parses and checks settings; errors contain `name` as the file name.
     ///
     /// # Errors
     ///
