--- a/crates/ivyweir-gateway/src/admit.rs
+++ b/crates/ivyweir-gateway/src/admit.rs
@@ -118,7 +118,7 @@
 ) -> Result<Option<Arc<Workspace>>, ErrorReason> {
     match site.access(route, envelope.key.as_deref()) {
         Access::Anonymous => Ok(None),
-        Access::Denied => Err(deny(gateway, ErrorReason::NoAccess)),
+        Access::Denied => Err(deny(gateway, ErrorReason::Unauthorized)),
         Access::Workspace(_) if !gateway.may_serve_keys() => Err(ErrorReason::NotCurrent),
         Access::Workspace(workspace) => Ok(Some(workspace)),
     }
@@ -147,7 +147,7 @@
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(ErrorReason::TooLarge),
         Ok(Err(_)) => Err(ErrorReason::BadRequest),
-        Err(_) => Err(ErrorReason::BodyLate),
+        Err(_) => Err(ErrorReason::BodyTimeout),
     }
 }
 
--- a/crates/ivyweir-gateway/src/dialect.rs
+++ b/crates/ivyweir-gateway/src/dialect.rs
@@ -241,7 +241,7 @@
 }
 
 impl InvalidRecord {
-    /// Creates an invalid record, truncating the detail to [`MAX_DETAIL_BYTES`].
+    /// Creates an invalid record, truncating a long detail.
     pub fn new(name: Option<Name>, fault: RecordFault, detail: impl fmt::Display) -> Self {
         let mut detail = detail.to_string();
         if let Some((end, _)) = detail
--- a/crates/ivyweir-gateway/src/error_response.rs
+++ b/crates/ivyweir-gateway/src/error_response.rs
@@ -13,11 +13,11 @@
     /// The body exceeds the size limit.
     TooLarge,
     /// The body was not received in time.
-    BodyLate,
+    BodyTimeout,
     /// No route matches the host and path.
     NoRoute,
     /// The key is unknown.
-    NoAccess,
+    Unauthorized,
     /// The box has no configuration yet, or no proof that it is the newest.
     NotCurrent,
     /// As [`NotCurrent`](Self::NotCurrent), while other boxes are starting too.
@@ -39,11 +39,11 @@
     /// Upstreams ended during earlier attempts of the request, so it is quarantined.
     Quarantined,
     /// The deadline passed before any upstream accepted the request.
-    LateNotRun,
+    DeadlineExceededNotRun,
     /// The deadline passed while an upstream may have been processing the request.
-    Late,
+    DeadlineExceeded,
     /// The request was sent, but its response was lost or corrupted.
-    AnswerLost,
+    ResponseLost,
 }
 
 /// `Retry-After` if no upstream accepted the request in time.
@@ -69,9 +69,9 @@
         match self {
             Self::BadRequest => StatusCode::BAD_REQUEST,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BodyLate => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::NoAccess => StatusCode::UNAUTHORIZED,
+            Self::Unauthorized => StatusCode::UNAUTHORIZED,
             Self::NotCurrent
             | Self::Starting
             | Self::Stopping
@@ -80,9 +80,9 @@
             | Self::AllCold
             | Self::AllBackingOff { .. }
             | Self::Quarantined
-            | Self::LateNotRun => StatusCode::SERVICE_UNAVAILABLE,
-            Self::Late => StatusCode::GATEWAY_TIMEOUT,
-            Self::AnswerLost => StatusCode::BAD_GATEWAY,
+            | Self::DeadlineExceededNotRun => StatusCode::SERVICE_UNAVAILABLE,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
+            Self::ResponseLost => StatusCode::BAD_GATEWAY,
         }
     }
 
@@ -91,9 +91,9 @@
         match self {
             Self::BadRequest => "bad_request",
             Self::TooLarge => "too_large",
-            Self::BodyLate => "body_late",
+            Self::BodyTimeout => "body_late",
             Self::NoRoute => "no_route",
-            Self::NoAccess => "no_access",
+            Self::Unauthorized => "no_access",
             Self::NotCurrent => "not_current",
             Self::Starting => "starting",
             Self::Stopping => "stopping",
@@ -102,9 +102,9 @@
             Self::AllCold => "all_cold",
             Self::AllBackingOff { .. } => "backing_off",
             Self::Quarantined => "quarantined",
-            Self::LateNotRun => "late_not_run",
-            Self::Late => "late",
-            Self::AnswerLost => "answer_lost",
+            Self::DeadlineExceededNotRun => "late_not_run",
+            Self::DeadlineExceeded => "late",
+            Self::ResponseLost => "answer_lost",
         }
     }
 
@@ -112,7 +112,7 @@
         match self {
             Self::NotCurrent | Self::Stopping => Some(RETRY_AFTER_OTHER_BOX_MS),
             Self::Starting => Some(RETRY_AFTER_STARTUP_MS),
-            Self::NoUpstream | Self::LateNotRun => Some(RETRY_AFTER_MS),
+            Self::NoUpstream | Self::DeadlineExceededNotRun => Some(RETRY_AFTER_MS),
             Self::HallsDrained => Some(RETRY_AFTER_DRAINED_MS),
             Self::AllCold => Some(RETRY_AFTER_COLD_MS),
             Self::AllBackingOff { retry_after_ms } => Some(retry_after_ms),
--- a/crates/ivyweir-gateway/src/gather.rs
+++ b/crates/ivyweir-gateway/src/gather.rs
@@ -78,7 +78,7 @@
     }
     // Only an upstream's own word makes 429, 503 and the like true; it was heard before.
     if promises_not_run(head.status.as_u16()) {
-        return Ok(ErrorReason::AnswerLost.into_response(false));
+        return Ok(ErrorReason::ResponseLost.into_response(false));
     }
     Ok(Response::from_parts(head, whole(bytes)))
 }
--- a/crates/ivyweir-gateway/src/native.rs
+++ b/crates/ivyweir-gateway/src/native.rs
@@ -243,6 +243,6 @@
     Bytes::from(serde_json::to_vec(value).expect("invariant: records serialize to JSON"))
 }
 
-fn decode<T: serde::de::DeserializeOwned>(what: &str, body: &[u8]) -> Result<T, DecodeError> {
-    serde_json::from_slice(body).map_err(|e| DecodeError::new(format!("{what}: {e}")))
+fn decode<T: serde::de::DeserializeOwned>(message: &str, body: &[u8]) -> Result<T, DecodeError> {
+    serde_json::from_slice(body).map_err(|e| DecodeError::new(format!("{message}: {e}")))
 }
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -160,8 +160,11 @@
                 gateway.until_looked(&upstream).await;
                 tries.tried.push(upstream);
                 if !may_repeat(gateway, &job, &tries) {
-                    trace.fail("refused", json!({"reason": ErrorReason::AnswerLost.name()}));
-                    return Err(ErrorReason::AnswerLost);
+                    trace.fail(
+                        "refused",
+                        json!({"reason": ErrorReason::ResponseLost.name()}),
+                    );
+                    return Err(ErrorReason::ResponseLost);
                 }
             }
         }
--- a/crates/ivyweir-gateway/src/tries.rs
+++ b/crates/ivyweir-gateway/src/tries.rs
@@ -47,13 +47,17 @@
     loop {
         let now_ms = gateway.clock.now_ms();
         if now_ms >= job.deadline_ms {
-            return Err(gave_up(tries, ErrorReason::LateNotRun, ErrorReason::Late));
+            return Err(gave_up(
+                tries,
+                ErrorReason::DeadlineExceededNotRun,
+                ErrorReason::DeadlineExceeded,
+            ));
         }
         if gateway.is_quarantined(job.fingerprint) {
             return Err(gave_up(
                 tries,
                 ErrorReason::Quarantined,
-                ErrorReason::AnswerLost,
+                ErrorReason::ResponseLost,
             ));
         }
         let choice = match choose(gateway, job, &tries.tried, tries.model) {
@@ -66,7 +70,7 @@
                 waiter.wait(for_ms).await;
                 continue;
             }
-            Err(why) => return Err(gave_up(tries, refusal(job, why), ErrorReason::AnswerLost)),
+            Err(why) => return Err(gave_up(tries, refusal(job, why), ErrorReason::ResponseLost)),
         };
         waiter = None;
         trace.step(
@@ -138,7 +142,7 @@
         Err(why @ ChooseError::AllBackingOff { .. }) => refusal(job, why),
         _ => ErrorReason::NoUpstream,
     };
-    Err(gave_up(tries, why, ErrorReason::AnswerLost))
+    Err(gave_up(tries, why, ErrorReason::ResponseLost))
 }
 
 /// Whether another upstream is tried after some that could not be reached. Nothing was sent to them, so it costs
@@ -162,9 +166,9 @@
         return Ok(());
     }
     if gateway.clock.now_ms() >= job.deadline_ms {
-        Err(ErrorReason::Late)
+        Err(ErrorReason::DeadlineExceeded)
     } else {
-        Err(ErrorReason::AnswerLost)
+        Err(ErrorReason::ResponseLost)
     }
 }
 
