--- a/crates/ivyweir-gateway/src/admit.rs
+++ b/crates/ivyweir-gateway/src/admit.rs
@@ -13,10 +13,10 @@
 use serde_json::json;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::dialect::Envelope;
+use crate::dialect::RequestMetadata;
+use crate::error_response::ErrorReason;
 use crate::job::{self, Job};
 use crate::log::Trace;
-use crate::refusal::Reason;
 use crate::state::Gateway;
 
 /// Time limit for reading a request body.
@@ -36,22 +36,22 @@
     body: Incoming,
     arrived_ms: u64,
     trace: &mut Trace,
-) -> Result<Job, Reason> {
+) -> Result<Job, ErrorReason> {
     // The body is read before any response is sent: closing a connection with unread data resets it.
     let body = read_body(body, gateway.site().as_deref()).await?;
     if is_past_deregistration(gateway) {
-        return Err(Reason::Stopping);
+        return Err(ErrorReason::Stopping);
     }
     let site = wait_for_site(gateway).await?;
-    let host = host_of(&head).ok_or(Reason::BadRequest)?;
+    let host = host_of(&head).ok_or(ErrorReason::BadRequest)?;
     let route = site
         .route(host, head.uri.path())
-        .ok_or_else(|| deny_if_current(gateway, Reason::NoRoute))?
+        .ok_or_else(|| deny_if_current(gateway, ErrorReason::NoRoute))?
         .clone();
-    let envelope = gateway.dialect.envelope(&head.headers);
+    let envelope = gateway.dialect.request_metadata(&head.headers);
     let workspace = authorize(gateway, &site, &route, &envelope)?;
     let seed = job::request_seed(&envelope);
-    let pool = route.pool(seed).ok_or(Reason::NoUpstream)?.clone();
+    let pool = route.pool(seed).ok_or(ErrorReason::NoUpstream)?.clone();
     let side = gateway.rollout_side(&pool, envelope.session, seed);
     let budget_ms = envelope.budget_ms.unwrap_or(route.timeout_ms);
     let deadline_ms = arrived_ms + budget_ms.min(route.timeout_ms);
@@ -88,7 +88,7 @@
 
 /// Returns the configuration. A newly started box soon has it, with proof that it is the newest, so the
 /// request waits for that up to `STARTUP_SYNC_TIMEOUT`.
-async fn wait_for_site(gateway: &Gateway) -> Result<Arc<SiteIndex>, Reason> {
+async fn wait_for_site(gateway: &Gateway) -> Result<Arc<SiteIndex>, ErrorReason> {
     let must_wait = || !gateway.is_synced() || gateway.is_starting();
     if must_wait() {
         let until = Instant::now() + STARTUP_SYNC_TIMEOUT;
@@ -101,11 +101,11 @@
 }
 
 /// Returns the refusal reason of a box without a configuration.
-fn missing_site_reason(gateway: &Gateway) -> Reason {
+fn missing_site_reason(gateway: &Gateway) -> ErrorReason {
     if gateway.peers.is_fleet_starting() {
-        Reason::Starting
+        ErrorReason::Starting
     } else {
-        Reason::NotCurrent
+        ErrorReason::NotCurrent
     }
 }
 
@@ -114,23 +114,23 @@
     gateway: &Gateway,
     site: &SiteIndex,
     route: &Route,
-    envelope: &Envelope,
-) -> Result<Option<Arc<Workspace>>, Reason> {
+    envelope: &RequestMetadata,
+) -> Result<Option<Arc<Workspace>>, ErrorReason> {
     match site.access(route, envelope.key.as_deref()) {
         Access::Anonymous => Ok(None),
-        Access::Denied => Err(deny_if_current(gateway, Reason::NoAccess)),
-        Access::Workspace(_) if !gateway.may_serve_keys() => Err(Reason::NotCurrent),
+        Access::Denied => Err(deny_if_current(gateway, ErrorReason::Unauthorized)),
+        Access::Workspace(_) if !gateway.may_serve_keys() => Err(ErrorReason::NotCurrent),
         Access::Workspace(workspace) => Ok(Some(workspace)),
     }
 }
 
 /// Returns `reason` if this box may report that a route or key does not exist, and otherwise that its
 /// configuration may be out of date.
-fn deny_if_current(gateway: &Gateway, reason: Reason) -> Reason {
+fn deny_if_current(gateway: &Gateway, reason: ErrorReason) -> ErrorReason {
     if gateway.may_report_not_found() {
         reason
     } else {
-        Reason::NotCurrent
+        ErrorReason::NotCurrent
     }
 }
 
@@ -140,15 +140,15 @@
     stopping_ms.is_some_and(|ms| ms > DEREGISTRATION_DELAY_MS)
 }
 
-async fn read_body(body: Incoming, site: Option<&SiteIndex>) -> Result<Bytes, Reason> {
+async fn read_body(body: Incoming, site: Option<&SiteIndex>) -> Result<Bytes, ErrorReason> {
     let limits = site.and_then(|site| site.site().limits);
     let max_bytes = limits.map_or(DEFAULT_MAX_BODY_BYTES, |l| l.max_body_bytes);
     let collected = timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Reason::TooLarge),
-        Ok(Err(_)) => Err(Reason::BadRequest),
-        Err(_) => Err(Reason::BodyLate),
+        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(ErrorReason::TooLarge),
+        Ok(Err(_)) => Err(ErrorReason::BadRequest),
+        Err(_) => Err(ErrorReason::BodyTimeout),
     }
 }
 
--- a/crates/ivyweir-gateway/src/apply.rs
+++ b/crates/ivyweir-gateway/src/apply.rs
@@ -11,7 +11,7 @@
 use ivyweir_policy::gateway::statement::Source;
 use serde_json::json;
 
-use crate::dialect::{Change, Entry, Item, Topic};
+use crate::dialect::{Change, RecordResult, StoreRecord, Topic};
 use crate::history::RecordChange;
 use crate::state::Gateway;
 
@@ -30,7 +30,7 @@
     topic: Topic,
     revision: Revision,
     kind: ListingKind,
-    entries: Vec<Entry>,
+    entries: Vec<RecordResult>,
 ) {
     apply_entries(gateway, topic, revision, kind, entries);
     gateway.histories.reset(topic, revision);
@@ -41,12 +41,15 @@
     topic: Topic,
     revision: Revision,
     kind: ListingKind,
-    entries: Vec<Entry>,
+    entries: Vec<RecordResult>,
 ) {
     let listed = entries.len();
     let items = readable_entries(gateway, topic, entries);
     if topic == Topic::Upstreams {
-        let records: Vec<UpstreamRecord> = items.into_iter().filter_map(Item::upstream).collect();
+        let records: Vec<UpstreamRecord> = items
+            .into_iter()
+            .filter_map(StoreRecord::upstream)
+            .collect();
         gateway.update_fleet(Source::Record, |fleet, now_ms| match kind {
             ListingKind::Complete => fleet.replace_all(records, now_ms),
             ListingKind::Incomplete => fleet.merge(records, now_ms),
@@ -64,13 +67,13 @@
 
 /// Removes roll-outs and drained halls that a complete listing lacks. They were withdrawn while
 /// this box received no changes.
-fn remove_unlisted(gateway: &Gateway, topic: Topic, listed: &[Item]) {
+fn remove_unlisted(gateway: &Gateway, topic: Topic, listed: &[StoreRecord]) {
     let known: Vec<Name> = match topic {
         Topic::Rollouts => gateway.with_rollouts(|rollouts, _| rollouts.keys().cloned().collect()),
         Topic::DrainedHalls => gateway.drained_halls(),
         Topic::Site | Topic::Upstreams => return,
     };
-    let listed: HashSet<&Name> = listed.iter().filter_map(Item::name).collect();
+    let listed: HashSet<&Name> = listed.iter().filter_map(StoreRecord::name).collect();
     for name in known.iter().filter(|name| !listed.contains(name)) {
         apply_deletion(gateway, topic, name);
     }
@@ -78,7 +81,11 @@
 
 /// Returns the readable records, and replaces the topic's list of unreadable ones. `entries` must
 /// be a listing of the topic.
-fn readable_entries(gateway: &Gateway, topic: Topic, entries: Vec<Entry>) -> Vec<Item> {
+fn readable_entries(
+    gateway: &Gateway,
+    topic: Topic,
+    entries: Vec<RecordResult>,
+) -> Vec<StoreRecord> {
     let mut items = Vec::new();
     let mut unreadable = Vec::new();
     for entry in entries {
@@ -108,7 +115,7 @@
             gateway.note_unreadable(topic, e);
             name.map(RecordChange::Deleted)
         }
-        Change::Gone(name) => {
+        Change::Removed(name) => {
             gateway.note_readable(topic, Some(&name));
             Some(RecordChange::Deleted(name))
         }
@@ -133,15 +140,15 @@
     gateway.histories.append(topic, revision, changes, records);
 }
 
-fn apply_item(gateway: &Gateway, revision: Revision, item: Item) {
+fn apply_item(gateway: &Gateway, revision: Revision, item: StoreRecord) {
     match item {
-        Item::Site(site) => apply_site(gateway, revision, *site),
-        Item::Upstream(record) => gateway.update_fleet(Source::Record, |fleet, now_ms| {
+        StoreRecord::Site(site) => apply_site(gateway, revision, *site),
+        StoreRecord::Upstream(record) => gateway.update_fleet(Source::Record, |fleet, now_ms| {
             let id = record.id.clone();
             vec![(id, fleet.put(record, now_ms))]
         }),
-        Item::Rollout(order) => apply_rollout(gateway, order),
-        Item::DrainedHall(hall) => gateway.drain_hall(hall),
+        StoreRecord::Rollout(order) => apply_rollout(gateway, order),
+        StoreRecord::DrainedHall(hall) => gateway.drain_hall(hall),
     }
 }
 
--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use crate::connection::{Connection, SendError, keep_alive_ms};
-use crate::dialect::{AnswerMarks, Forward};
+use crate::dialect::{ForwardMetadata, ResponseMetadata};
 use crate::job::Job;
 use crate::liveness;
 use crate::log::Trace;
@@ -141,7 +141,7 @@
     /// Status, headers and the unread body.
     pub response: Response<Incoming>,
     /// Metadata from the response headers.
-    pub marks: AnswerMarks,
+    pub marks: ResponseMetadata,
     /// Guard for the request at the upstream.
     pub in_flight: InFlightRequest,
     /// Time for which the connection may be kept idle afterwards; `None` if it must be closed.
@@ -304,7 +304,9 @@
 ) -> AttemptOutcome {
     let status = response.status().as_u16();
     gateway.note_unread_headers(&in_flight.upstream.id, response.headers());
-    let marks = gateway.dialect.answer(status, response.headers());
+    let marks = gateway
+        .dialect
+        .response_metadata(status, response.headers());
     let keep_alive_ms = keep_alive_ms(response.headers());
     let is_framed = is_framed(response.headers());
     in_flight.record_prefilled();
@@ -364,7 +366,7 @@
 
 /// Returns whether a response was produced by the upstream for this request: it echoes the request id, and it is
 /// signed if it is a success.
-fn is_response_to(job: &Job, marks: &AnswerMarks, status: u16) -> bool {
+fn is_response_to(job: &Job, marks: &ResponseMetadata, status: u16) -> bool {
     let is_success = (200..300).contains(&status);
     marks.request_id == job.envelope.request_id && (marks.is_signed || !is_success)
 }
@@ -376,9 +378,9 @@
     upstream: &'a UpstreamRecord,
     options: AttemptOptions,
     estimate: Estimate,
-) -> Forward<'a> {
+) -> ForwardMetadata<'a> {
     let left_ms = job.deadline_ms.saturating_sub(gateway.clock.now_ms());
-    Forward {
+    ForwardMetadata {
         upstream_name: upstream.name(),
         budget_ms: left_ms.max(1),
         workspace: job.workspace.as_ref().map(|w| &*w.name),
--- a/crates/ivyweir-gateway/src/buffer.rs
+++ b/crates/ivyweir-gateway/src/buffer.rs
@@ -10,9 +10,9 @@
 use tokio::time::timeout;
 
 use crate::attempt::Reply;
+use crate::error_response::ErrorReason;
 use crate::job::{Job, strip_hop_by_hop};
 use crate::log::Trace;
-use crate::refusal::Reason;
 use crate::response::{ResponseBody, full_body};
 use crate::state::Gateway;
 
@@ -83,7 +83,7 @@
     // Statuses such as 429 and 503 tell the caller that the request was not run. Only the
     // upstream's own statement establishes that, and it was evaluated earlier.
     if is_not_run_status(head.status.as_u16()) {
-        return Ok(Reason::AnswerLost.into_answer(false));
+        return Ok(ErrorReason::ResponseLost.into_response(false));
     }
     Ok(Response::from_parts(head, full_body(bytes)))
 }
--- a/crates/ivyweir-gateway/src/client.rs
+++ b/crates/ivyweir-gateway/src/client.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 use crate::connection::{Connection, SendError};
-use crate::dialect::DialectError;
+use crate::dialect::DecodeError;
 
 /// Time limit for a response from the store, on top of the wait that the request asks for. A slow
 /// store takes a few hundred milliseconds.
@@ -66,7 +66,7 @@
     }
 
     /// Creates the error for a response that the codec could not decode.
-    pub fn unreadable(error: DialectError) -> Self {
+    pub fn unreadable(error: DecodeError) -> Self {
         Self::Unreadable {
             detail: error.to_string(),
         }
--- a/crates/ivyweir-gateway/src/duties.rs
+++ b/crates/ivyweir-gateway/src/duties.rs
@@ -167,7 +167,7 @@
             return Vec::new();
         };
         let gateway = &self.gateway;
-        let windows = usage.terms().windows_to_fix(
+        let windows = usage.schedule().windows_to_fix(
             gateway.fixed_usage_window(),
             gateway.first_usage_window(),
             root_for_ms,
@@ -208,7 +208,7 @@
         let answer = answer?;
         let stored = match answer.status {
             StatusCode::OK | StatusCode::CREATED | StatusCode::CONFLICT => {
-                let stored = self.gateway.store_codec.duties(&answer.body);
+                let stored = self.gateway.store_codec.decode_duties(&answer.body);
                 Some(stored.map_err(CallError::unreadable)?)
             }
             StatusCode::NOT_FOUND => None,
--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
 
-use crate::dialect::{Item, Topic};
+use crate::dialect::{StoreRecord, Topic};
 use crate::history::{Backlog, RecordChange, Requester, SourceUnavailable};
 use crate::response::{ResponseBody, peer_message, status_only};
 use crate::state::Gateway;
@@ -84,7 +84,7 @@
 pub enum Snapshot {
     /// The records.
     #[serde(rename = "here")]
-    Inline(Vec<Item>),
+    Inline(Vec<StoreRecord>),
     /// Another box has them. This one is already sending them to several boxes.
     #[serde(rename = "at")]
     Redirect(SocketAddr),
--- a/crates/ivyweir-gateway/src/history.rs
+++ b/crates/ivyweir-gateway/src/history.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use crate::dialect::{Item, Topic};
+use crate::dialect::{StoreRecord, Topic};
 
 /// Minimum number of changes kept for a topic, however few records it has.
 const MIN_CHANGES_KEPT: usize = 128;
@@ -25,7 +25,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum RecordChange {
     /// A record was written.
-    Put(Item),
+    Put(StoreRecord),
     /// The record of this name was deleted.
     #[serde(rename = "gone")]
     Deleted(Name),
--- a/crates/ivyweir-gateway/src/job.rs
+++ b/crates/ivyweir-gateway/src/job.rs
@@ -15,7 +15,7 @@
 use ivyweir_policy::gateway::work::{self, Estimate, Tokens};
 use ivyweir_policy::hash::{hash64, mix};
 
-use crate::dialect::{Dialect, Envelope, Forward, PromptPart};
+use crate::dialect::{Dialect, ForwardMetadata, PromptPart, RequestMetadata};
 use crate::settings::Settings;
 
 /// Hop-by-hop headers that `http` has constants for.
@@ -39,7 +39,7 @@
     /// The complete body.
     pub body: Bytes,
     /// Metadata from the caller's headers.
-    pub envelope: Envelope,
+    pub envelope: RequestMetadata,
     pub route: Arc<Route>,
     pub pool: Name,
     /// The caller's workspace; `None` for anonymous access.
@@ -67,7 +67,7 @@
 
     /// Returns whether the gateway chooses the model.
     pub fn chooses_model(&self) -> bool {
-        self.envelope.any_model && !self.route.models.is_empty()
+        self.envelope.auto_model && !self.route.models.is_empty()
     }
 
     /// Returns the key of the group in which response times are compared: same route and same model.
@@ -110,11 +110,11 @@
 
     /// Returns its token counts, if the caller states them.
     pub fn tokens(&self) -> Option<Tokens> {
-        let (own, shared) = self.envelope.parts.split_last()?;
+        let (own, shared) = self.envelope.prompt_parts.split_last()?;
         Some(Tokens {
             shared: shared.iter().map(|part| part.tokens).sum(),
             unique: own.tokens,
-            output: self.envelope.out_tokens.unwrap_or(0),
+            output: self.envelope.expected_output_tokens.unwrap_or(0),
         })
     }
 
@@ -122,18 +122,18 @@
     pub fn upstream_request(
         &self,
         dialect: &dyn Dialect,
-        forward: &Forward,
+        forward: &ForwardMetadata,
     ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
         *request.headers_mut() = self.head.headers.clone();
-        dialect.mark(request.headers_mut(), forward);
+        dialect.add_forward_headers(request.headers_mut(), forward);
         request
     }
 
     fn shared_parts(&self) -> &[PromptPart] {
-        match self.envelope.parts.split_last() {
+        match self.envelope.prompt_parts.split_last() {
             Some((_, shared)) => shared,
             None => &[],
         }
@@ -149,7 +149,7 @@
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     head.headers.remove(header::EXPECT);
-    dialect.strip(&mut head.headers);
+    dialect.strip_reserved_headers(&mut head.headers);
     head.extensions.clear();
     head
 }
@@ -176,7 +176,7 @@
 
 /// Returns a number that differs between requests. It is derived from the request id, so that all boxes compute the
 /// same one; without an id it is random.
-pub fn request_seed(envelope: &Envelope) -> u64 {
+pub fn request_seed(envelope: &RequestMetadata) -> u64 {
     match &envelope.request_id {
         Some(id) => hash64(&[id.as_bytes()]),
         None => rand::random(),
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -13,9 +13,9 @@
 use crate::attempt::Reply;
 use crate::buffer::buffer_response;
 use crate::canary::record_head;
+use crate::error_response::ErrorReason;
 use crate::job::Job;
 use crate::log::Trace;
-use crate::refusal::Reason;
 use crate::response::ResponseBody;
 use crate::retry::{RetryState, choose_upstream, next_reply, take_retry};
 use crate::state::{ActiveRequest, Gateway};
@@ -26,7 +26,7 @@
     let active = gateway.begin_request();
     let arrived_ms = gateway.clock.now_ms();
     let (head, body) = request.into_parts();
-    let envelope = gateway.dialect.envelope(&head.headers);
+    let envelope = gateway.dialect.request_metadata(&head.headers);
     let id = envelope.request_id.clone().unwrap_or_else(|| "-".into());
     let mut trace = Trace::new(gateway.log.clone(), id);
     let path = head.uri.path().to_owned();
@@ -55,7 +55,7 @@
     gateway: &Gateway,
     route: &Name,
     arrived_ms: u64,
-    response: Result<Response<ResponseBody>, Reason>,
+    response: Result<Response<ResponseBody>, ErrorReason>,
     close: bool,
 ) -> Response<ResponseBody> {
     let outcome = match &response {
@@ -76,7 +76,7 @@
             }
             response
         }
-        Err(reason) => reason.into_answer(close),
+        Err(reason) => reason.into_response(close),
     }
 }
 
@@ -102,7 +102,7 @@
     job: Arc<Job>,
     mut trace: Trace,
     active: ActiveRequest,
-) -> Result<Response<ResponseBody>, Reason> {
+) -> Result<Response<ResponseBody>, ErrorReason> {
     gateway.count_request(&job.pool);
     let mut state = RetryState::default();
     let mut fallback = None;
@@ -160,8 +160,11 @@
                 gateway.wait_for_termination_check(&upstream).await;
                 state.tried.push(upstream);
                 if !take_retry(gateway, &job, &state) {
-                    trace.fail("refused", json!({"reason": Reason::AnswerLost.name()}));
-                    return Err(Reason::AnswerLost);
+                    trace.fail(
+                        "refused",
+                        json!({"reason": ErrorReason::ResponseLost.name()}),
+                    );
+                    return Err(ErrorReason::ResponseLost);
                 }
             }
         }
--- a/crates/ivyweir-gateway/src/quarantine_sync.rs
+++ b/crates/ivyweir-gateway/src/quarantine_sync.rs
@@ -69,7 +69,7 @@
         let quarantined = self.gateway.quarantined();
         let released: Vec<Fingerprint> = self.stored.difference(&quarantined).copied().collect();
         for fingerprint in released {
-            let request = self.gateway.store_codec.drop_quarantine(fingerprint);
+            let request = self.gateway.store_codec.delete_quarantine(fingerprint);
             self.write(request, &[StatusCode::OK, StatusCode::NOT_FOUND])
                 .await?;
             self.stored.remove(&fingerprint);
@@ -117,7 +117,7 @@
 
     /// Decodes the records of a listing; logs and skips those that cannot be decoded.
     fn decode_records(&self, answer: &StoreResponse) -> Result<Vec<QuarantineRecord>, CallError> {
-        let entries = self.gateway.store_codec.quarantines(&answer.body);
+        let entries = self.gateway.store_codec.decode_quarantines(&answer.body);
         let mut records = Vec::new();
         for entry in entries.map_err(CallError::unreadable)? {
             match entry {
@@ -139,7 +139,7 @@
         let Some(record) = self.gateway.quarantine_record(fingerprint) else {
             return Ok(());
         };
-        let request = self.gateway.store_codec.keep_quarantine(&record);
+        let request = self.gateway.store_codec.create_quarantine(&record);
         let written = [StatusCode::OK, StatusCode::CREATED, StatusCode::CONFLICT];
         self.write(request, &written).await?;
         self.stored.insert(fingerprint);
--- a/crates/ivyweir-gateway/src/retry.rs
+++ b/crates/ivyweir-gateway/src/retry.rs
@@ -8,9 +8,9 @@
 use serde_json::json;
 
 use crate::attempt::{self, AttemptOptions, AttemptOutcome, Reply};
+use crate::error_response::ErrorReason;
 use crate::job::Job;
 use crate::log::Trace;
-use crate::refusal::Reason;
 use crate::state::{Gateway, Suspicion, Waiter};
 
 /// Number of unreachable upstreams after which a request is refused, unless it can still meet its latency target and
@@ -44,18 +44,22 @@
     job: &Job,
     state: &mut RetryState,
     trace: &mut Trace,
-) -> Result<Box<Reply>, Reason> {
+) -> Result<Box<Reply>, ErrorReason> {
     let mut waiter: Option<Waiter> = None;
     loop {
         let now_ms = gateway.clock.now_ms();
         if now_ms >= job.deadline_ms {
-            return Err(failure_reason(state, Reason::LateNotRun, Reason::Late));
+            return Err(failure_reason(
+                state,
+                ErrorReason::DeadlineExceededNotRun,
+                ErrorReason::DeadlineExceeded,
+            ));
         }
         if gateway.is_quarantined(job.fingerprint) {
             return Err(failure_reason(
                 state,
-                Reason::Quarantined,
-                Reason::AnswerLost,
+                ErrorReason::Quarantined,
+                ErrorReason::ResponseLost,
             ));
         }
         let choice = match choose_upstream(gateway, job, &state.tried, state.model) {
@@ -72,7 +76,7 @@
                 return Err(failure_reason(
                     state,
                     refusal_reason(job, why),
-                    Reason::AnswerLost,
+                    ErrorReason::ResponseLost,
                 ));
             }
         };
@@ -134,7 +138,7 @@
     job: &Job,
     state: &mut RetryState,
     arrived: bool,
-) -> Result<(), Reason> {
+) -> Result<(), ErrorReason> {
     let tries_another = if arrived {
         state.sent += 1;
         take_attempt(gateway, job, state.sent)
@@ -147,9 +151,9 @@
     }
     let why = match choose_upstream(gateway, job, &[], state.model) {
         Err(why @ ChooseError::AllBackingOff { .. }) => refusal_reason(job, why),
-        _ => Reason::NoUpstream,
+        _ => ErrorReason::NoUpstream,
     };
-    Err(failure_reason(state, why, Reason::AnswerLost))
+    Err(failure_reason(state, why, ErrorReason::ResponseLost))
 }
 
 /// Returns whether another upstream is tried after unreachable ones. Nothing was sent to them, so this costs only
@@ -166,16 +170,16 @@
 }
 
 /// Records that an upstream may have run the job. Fails if the job may not run again.
-fn record_lost(gateway: &Gateway, job: &Job, state: &mut RetryState) -> Result<(), Reason> {
+fn record_lost(gateway: &Gateway, job: &Job, state: &mut RetryState) -> Result<(), ErrorReason> {
     state.sent += 1;
     state.may_have_run = true;
     if take_retry(gateway, job, state) {
         return Ok(());
     }
     if gateway.clock.now_ms() >= job.deadline_ms {
-        Err(Reason::Late)
+        Err(ErrorReason::DeadlineExceeded)
     } else {
-        Err(Reason::AnswerLost)
+        Err(ErrorReason::ResponseLost)
     }
 }
 
@@ -207,19 +211,23 @@
 }
 
 /// Returns the refusal reason of a request that no upstream can take.
-fn refusal_reason(job: &Job, why: ChooseError) -> Reason {
+fn refusal_reason(job: &Job, why: ChooseError) -> ErrorReason {
     match why {
-        ChooseError::NoUpstream => Reason::NoUpstream,
-        ChooseError::HallsDrained => Reason::HallsDrained,
-        ChooseError::AllCold => Reason::AllCold,
-        ChooseError::AllBackingOff { for_ms } => Reason::AllBackingOff {
-            come_back_ms: spread_retry_after_ms(for_ms, job.priority(), job.seed),
+        ChooseError::NoUpstream => ErrorReason::NoUpstream,
+        ChooseError::HallsDrained => ErrorReason::HallsDrained,
+        ChooseError::AllCold => ErrorReason::AllCold,
+        ChooseError::AllBackingOff { for_ms } => ErrorReason::AllBackingOff {
+            retry_after_ms: spread_retry_after_ms(for_ms, job.priority(), job.seed),
         },
     }
 }
 
 /// Returns the reason to fail with, depending on whether the request may have run.
-fn failure_reason(state: &RetryState, not_run: Reason, may_have_run: Reason) -> Reason {
+fn failure_reason(
+    state: &RetryState,
+    not_run: ErrorReason,
+    may_have_run: ErrorReason,
+) -> ErrorReason {
     if state.may_have_run {
         may_have_run
     } else {
--- a/crates/ivyweir-gateway/src/rollout_driver.rs
+++ b/crates/ivyweir-gateway/src/rollout_driver.rs
@@ -124,7 +124,7 @@
         StatusCode::CONFLICT => "conflict",
         status => return Err(format!("status {}", status.as_u16())),
     };
-    let record = gateway.store_codec.rollout(&answer.body);
+    let record = gateway.store_codec.decode_rollout(&answer.body);
     let mut record = record.map_err(|e| e.to_string())?;
     record.era = answer.era;
     apply_rollout(gateway, record);
--- a/crates/ivyweir-gateway/src/state/freshness.rs
+++ b/crates/ivyweir-gateway/src/state/freshness.rs
@@ -42,7 +42,7 @@
     /// Whether this box currently receives the store's records from any source, judged by the age of the
     /// proof.
     pub fn receives_store_records(&self) -> bool {
-        let limit_ms = self.settings.bounds.unrenewed_ms();
+        let limit_ms = self.settings.bounds.proof_renewal_timeout_ms();
         lock(&self.proof).is_younger_than(limit_ms, self.clock.now_ms())
     }
 
--- a/crates/ivyweir-gateway/src/state/retries.rs
+++ b/crates/ivyweir-gateway/src/state/retries.rs
@@ -27,7 +27,7 @@
     /// This box's share of the bounds on retries, from the number of known boxes.
     fn retry_limits(&self) -> RetryLimits {
         let boxes = self.peers.fleet_size();
-        self.settings.bounds.repeat_limits(boxes)
+        self.settings.bounds.retry_limits(boxes)
     }
 
     /// Requests and retries of this box in the last window.
--- a/crates/ivyweir-gateway/src/state/unread_headers.rs
+++ b/crates/ivyweir-gateway/src/state/unread_headers.rs
@@ -22,7 +22,7 @@
 impl Gateway {
     /// Counts and logs the headers of an upstream's answer that no code reads.
     pub fn note_unread_headers(&self, upstream: &Name, headers: &HeaderMap) {
-        for name in self.dialect.unread(headers) {
+        for name in self.dialect.unread_headers(headers) {
             let name = name.as_str();
             // Header names are ASCII, so every byte index is a character boundary.
             self.note_unread_header(upstream, &name[..name.len().min(MAX_NAME_BYTES)]);
--- a/crates/ivyweir-gateway/src/state/unreadable_records.rs
+++ b/crates/ivyweir-gateway/src/state/unreadable_records.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::{Gateway, lock};
-use crate::dialect::{Topic, Unreadable};
+use crate::dialect::{InvalidRecord, Topic};
 
 /// Maximum number of unreadable records that are tracked to report each only once. Records beyond it are reported
 /// each time they are read.
@@ -36,7 +36,7 @@
 
 impl Gateway {
     /// Counts and logs a record that cannot be decoded, unless it is already tracked.
-    pub fn note_unreadable(&self, topic: Topic, record: Unreadable) {
+    pub fn note_unreadable(&self, topic: Topic, record: InvalidRecord) {
         let is_new = lock(&self.unreadable_records).add(topic, record.name.as_ref());
         if is_new {
             self.log_unreadable(topic, &record);
@@ -52,8 +52,8 @@
     }
 
     /// Replaces the unreadable records of a topic by those of a full listing.
-    pub fn set_unreadable(&self, topic: Topic, records: Vec<Unreadable>) {
-        let new: Vec<Unreadable> = {
+    pub fn set_unreadable(&self, topic: Topic, records: Vec<InvalidRecord>) {
+        let new: Vec<InvalidRecord> = {
             let mut unreadable = lock(&self.unreadable_records);
             let before = std::mem::take(&mut unreadable.known);
             let (same_topic, others) = before.into_iter().partition(|(of, _)| *of == topic);
@@ -82,7 +82,7 @@
         self.log.line("records_unreadable", detail);
     }
 
-    fn log_unreadable(&self, topic: Topic, record: &Unreadable) {
+    fn log_unreadable(&self, topic: Topic, record: &InvalidRecord) {
         self.count_unreadable(topic, record);
         let detail = json!({
             "topic": topic.name(), "name": record.name, "fault": record.fault.name(),
@@ -91,7 +91,7 @@
         self.log.line("record_unreadable", detail);
     }
 
-    fn count_unreadable(&self, topic: Topic, record: &Unreadable) {
+    fn count_unreadable(&self, topic: Topic, record: &InvalidRecord) {
         let counter = &self.metrics.unreadable_records;
         let labels = [topic.name(), record.fault.name()];
         counter.with_label_values(&labels).inc();
--- a/crates/ivyweir-gateway/src/state/usage.rs
+++ b/crates/ivyweir-gateway/src/state/usage.rs
@@ -23,7 +23,7 @@
     pub(super) fn new(settings: &Settings, run_id: u64) -> Self {
         let usage = settings.duties.and_then(|duties| duties.usage);
         Self {
-            schedule: usage.map(|usage| usage.terms()),
+            schedule: usage.map(|usage| usage.schedule()),
             wall_clock: StableWallClock::default(),
             table: UsageTable::new(BoxRun {
                 name: settings.box_name.clone(),
--- a/crates/ivyweir-gateway/src/store_client.rs
+++ b/crates/ivyweir-gateway/src/store_client.rs
@@ -45,7 +45,7 @@
         limit: Duration,
     ) -> Result<StoreResponse, CallError> {
         let answer = self.client.call(request, limit).await?;
-        let reported = self.gateway.store_codec.era(&answer.headers);
+        let reported = self.gateway.store_codec.store_era(&answer.headers);
         Ok(StoreResponse {
             status: answer.status,
             body: answer.body,
@@ -69,7 +69,7 @@
         if answer.status != StatusCode::OK {
             return Err(CallError::refused(answer.status));
         }
-        let page = self.gateway.store_codec.page(topic, &answer.body);
+        let page = self.gateway.store_codec.decode_page(topic, &answer.body);
         Ok((page.map_err(CallError::unreadable)?, answer.era))
     }
 }
--- a/crates/ivyweir-gateway/src/sync/peer.rs
+++ b/crates/ivyweir-gateway/src/sync/peer.rs
@@ -14,7 +14,7 @@
 use crate::apply::{ListingKind, apply_changes, apply_listing};
 use crate::box_call::{BoxCallError, decode_response, get_request};
 use crate::client::{BufferedResponse, CallError, Client};
-use crate::dialect::{Item, Topic};
+use crate::dialect::{StoreRecord, Topic};
 use crate::follow::{FollowResponse, ProofScope, Snapshot, follow_path};
 use crate::history::Requester;
 
@@ -158,7 +158,7 @@
         }
         let now_ms = self.gateway.clock.now_ms();
         let left_ms = self.probes.until_first_ms(now_ms);
-        let most_ms = self.gateway.settings.bounds.unrenewed_ms();
+        let most_ms = self.gateway.settings.bounds.proof_renewal_timeout_ms();
         left_ms.min(most_ms).max(MIN_RELAY_SITE_WAIT_MS)
     }
 
@@ -256,7 +256,7 @@
         Ok(answer.revision)
     }
 
-    fn apply_copy(&self, revision: Revision, items: Vec<Item>) {
+    fn apply_copy(&self, revision: Revision, items: Vec<StoreRecord>) {
         let entries = items.into_iter().map(Ok).collect();
         apply_listing(
             &self.gateway,
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -13,7 +13,7 @@
 use super::{Follower, IDLE_WATCH_MS};
 use crate::apply::{ListingKind, apply_changes, apply_listing, readable_changes};
 use crate::client::{CallError, RESPONSE_TIMEOUT};
-use crate::dialect::{Changes, Entry, Topic};
+use crate::dialect::{Changes, RecordResult, Topic};
 use crate::state::Gateway;
 use crate::store_client::StoreResponse;
 
@@ -71,7 +71,7 @@
     }
 
     /// Reads all records of the topic, and the revision from which to watch for later changes.
-    async fn read_pages(&mut self) -> Result<(Vec<Entry>, Revision), CallError> {
+    async fn read_pages(&mut self) -> Result<(Vec<RecordResult>, Revision), CallError> {
         let (first, era) = self.client.read_page(self.topic, None).await?;
         if Some(era) < self.gateway.store_era() {
             return Err(CallError::EraMismatch);
@@ -213,7 +213,10 @@
             // After a restore, the same revision number stands for another change.
             StatusCode::OK if answer.era != era => Ok(None),
             StatusCode::OK => {
-                let changes = self.gateway.store_codec.changes(self.topic, &answer.body);
+                let changes = self
+                    .gateway
+                    .store_codec
+                    .decode_changes(self.topic, &answer.body);
                 changes.map(Some).map_err(CallError::unreadable)
             }
             status => Err(CallError::refused(status)),
