--- a/crates/ivyweird/src/clock.rs
+++ b/crates/ivyweird/src/clock.rs
@@ -1,32 +1,32 @@
-//! Time: a clock that never goes back, and the time of day.
+//! A monotonic clock, and the wall-clock time.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The times of one process.
+/// Monotonic clock of one process.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
 }
 
-/// Start of [`Clock::now_ms`], so that "never" can be 0.
-const OFFSET_MS: u64 = 1_000_000;
+/// First value of [`Clock::now_ms`]. It is above 0, so that 0 can stand for "never".
+const MONOTONIC_BASE_MS: u64 = 1_000_000;
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Self {
         Self {
             started: Instant::now(),
         }
     }
 
-    /// Milliseconds that never go back; comparable within this process only.
+    /// Monotonic time in milliseconds, comparable within this process only.
     pub fn now_ms(&self) -> u64 {
-        OFFSET_MS + self.started.elapsed().as_millis() as u64
+        MONOTONIC_BASE_MS + self.started.elapsed().as_millis() as u64
     }
 
-    /// Milliseconds since the epoch, by the box's wall clock.
+    /// Milliseconds since the Unix epoch, by the wall clock of the machine.
     pub fn epoch_ms() -> u64 {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH);
-        since.unwrap_or(Duration::ZERO).as_millis() as u64
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        since_epoch.unwrap_or(Duration::ZERO).as_millis() as u64
     }
 }
--- a/crates/ivyweird/src/main.rs
+++ b/crates/ivyweird/src/main.rs
@@ -1,5 +1,5 @@
-//! The ivyweir daemon: `ivyweird --settings FILE`, or `ivyweird --gateway FILE` on the users'
-//! platform.
+//! The ivyweir daemon: `ivyweird --settings FILE` runs a box, `ivyweird --gateway FILE` a gateway on
+//! the users' platform.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,14 +11,14 @@
 use ivyweir_gateway::{Adapter, DialectChoice, Settings as GatewaySettings};
 use ivyweird::Settings;
 
-/// Exit code for settings that cannot be used.
+/// Exit code for missing or invalid settings.
 const EXIT_SETTINGS: u8 = 2;
-/// Exit code for a start that failed.
+/// Exit code when the daemon fails to start.
 const EXIT_START: u8 = 1;
 
 #[derive(Debug, Options)]
 struct Args {
-    #[options(help = "print this text")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(help = "settings file (JSON)", meta = "FILE")]
     settings: Option<PathBuf>,
@@ -43,7 +43,7 @@
         return run_gateway(&file, args.check);
     }
     let Some(file) = args.settings else {
-        eprintln!("ivyweird: --settings FILE or --gateway FILE is missing; --help tells more");
+        eprintln!("ivyweird: --settings FILE or --gateway FILE is required; see --help");
         return ExitCode::from(EXIT_SETTINGS);
     };
     let settings = match Settings::from_file(&file) {
--- a/crates/ivyweird/src/settings.rs
+++ b/crates/ivyweird/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: strict JSON whose errors name the field.
+//! The settings file: strict JSON, with errors that name the invalid field.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,13 +9,13 @@
 use serde::Deserialize;
 use snafu::ensure;
 
-/// What a box is told at its start.
+/// Settings of a box, read at start-up.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The box's name, unique in the fleet.
     pub box_name: Name,
-    /// Its data hall.
+    /// The data hall that the box is in.
     pub hall: Name,
     /// IP address and port for callers.
     pub caller_addr: String,
@@ -31,18 +31,19 @@
     /// Base URL of the rating service; without it no answer is rated.
     #[serde(default)]
     pub rating_url: Option<String>,
-    /// Hex of the key that all boxes share, 32 bytes or more.
+    /// The key that all boxes share, in hexadecimal, 32 bytes or more.
     pub fleet_key_hex: String,
-    /// Hex hash of the first operator's key; used only when the store is empty.
+    /// Hash of the first operator's key, in hexadecimal; used only if the store has no configuration.
     #[serde(default)]
     pub bootstrap_operator_key_hash: Option<Name>,
-    /// Peers to try when the platform's box list cannot be had.
+    /// Addresses of peers to contact when no other member is known, for instance because the box list
+    /// of the platform is unavailable.
     #[serde(default)]
     pub seed_peers: Vec<String>,
     /// Limits.
     #[serde(default)]
     pub limits: Limits,
-    /// Choices that experiments vary.
+    /// Policies that experiments vary.
     #[serde(default)]
     pub policy: PolicySettings,
 }
@@ -51,19 +52,19 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests at once, waiting ones included.
+    /// Largest number of concurrent requests, including queued ones.
     pub max_requests: usize,
-    /// Requests that wait for an upstream, per version.
+    /// Largest number of requests that wait for an upstream, per version.
     pub max_queued: usize,
-    /// Longest expected wait with which a request is still queued.
+    /// Longest expected wait for which a request is queued rather than refused.
     pub max_wait_ms: u64,
-    /// Bytes of billing records that are not in the store yet.
+    /// Largest size in bytes of the billing records that are not in the store yet.
     pub max_billing_bytes: usize,
-    /// Ratings asked for a second, over the whole fleet.
+    /// Ratings requested per second, by all boxes together.
     pub ratings_per_s: u32,
-    /// Longest life of a session.
+    /// Lifetime of a session.
     pub session_ms: u64,
-    /// Time between two writes of billing records, per box in the fleet.
+    /// Time between two writes of billing records, multiplied by the number of boxes.
     pub flush_ms_per_box: u64,
     /// Time between two rotations of the session key.
     pub session_key_ms: u64,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Choices that experiments vary; the defaults are the product.
+/// Policies that experiments vary. The defaults are those for production.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicySettings {
@@ -92,11 +93,11 @@
     pub balance: BalanceSetting,
     /// How a model is chosen for the alias `auto`.
     pub model: ModelSetting,
-    /// Whether two models may be asked in turn.
+    /// Whether a request may be sent to a second model after the answer of a first one.
     pub cascade: bool,
-    /// Whether bad versions are noticed.
+    /// Whether bad versions are detected.
     pub guard: bool,
-    /// Whether a broken stream goes on at another engine.
+    /// Whether an interrupted stream is resumed at another engine.
     pub resume: bool,
 }
 
@@ -118,13 +119,13 @@
 pub enum BalanceSetting {
     /// Prefix affinity with bounded load.
     Affinity,
-    /// Two random choices.
+    /// The less loaded of two random upstreams.
     TwoChoices,
-    /// In turn.
+    /// Round robin.
     RoundRobin,
-    /// At random.
+    /// A random upstream.
     Random,
-    /// Fewest calls of this box.
+    /// The upstream with the fewest calls in flight from this box.
     LeastInFlight,
 }
 
@@ -144,27 +145,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelSetting {
-    /// The cheapest that meets the workspace's target.
+    /// The cheapest model that meets the quality target of the workspace.
     Target,
-    /// Always the dearest.
+    /// Always the most expensive model.
     Strong,
-    /// Always the cheapest.
+    /// Always the cheapest model.
     Cheap,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] that names the field.
+    /// If the file cannot be read or a setting is invalid. The [`SettingsError`] names the field.
     pub fn from_file(path: &Path) -> Result<Self, SettingsError> {
         let settings: Self = settings_file::read(path)?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), SettingsError> {
+    fn validate(&self) -> Result<(), SettingsError> {
         check_name("box_name", &self.box_name)?;
         check_name("hall", &self.hall)?;
         check_addr("caller_addr", &self.caller_addr)?;
@@ -189,10 +190,10 @@
                 expected: "64 hex digits or more",
             }
         );
-        self.limits.check()
+        self.limits.validate()
     }
 
-    /// Where peers reach this box.
+    /// Address at which peers reach this box.
     pub fn reachable_peer_addr(&self) -> &str {
         self.advertised_peer_addr
             .as_deref()
@@ -206,10 +207,10 @@
 }
 
 impl Limits {
-    fn check(&self) -> Result<(), SettingsError> {
-        let at_least = |field, value: u64, least: u64, expected| {
+    fn validate(&self) -> Result<(), SettingsError> {
+        let at_least = |field, value: u64, min: u64, expected| {
             ensure!(
-                value >= least,
+                value >= min,
                 RangeSnafu {
                     field,
                     found: format!("{:?}", value.to_string()),
@@ -248,9 +249,9 @@
 }
 
 fn check_name(field: &'static str, name: &str) -> Result<(), SettingsError> {
-    let is_plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.';
+    let is_name_byte = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.';
     ensure!(
-        (1..=63).contains(&name.len()) && name.bytes().all(is_plain),
+        (1..=63).contains(&name.len()) && name.bytes().all(is_name_byte),
         RangeSnafu {
             field,
             found: format!("{name:?}"),
