--- a/crates/ivyweird/src/audit.rs
+++ b/crates/ivyweird/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: the newest entries stand in the configuration, older ones in archive objects.
+//! The audit trail: the configuration holds the newest entries, archive objects the older ones.
 
 use ivyweir_platform::{Expect, Result};
 use ivyweir_policy::{AuditEntry, Config};
@@ -6,37 +6,41 @@
 use crate::node::Node;
 use crate::spread::CONFIG_OBJECT;
 
-const PREFIX: &str = "audit/";
+const ARCHIVE_PREFIX: &str = "audit/";
 
-/// Writes entries that are about to leave the configuration.
+/// Archives entries that are about to be removed from the configuration.
 ///
-/// The name says where they end, so that a repeat writes the same object; an object that a lost
-/// race left behind holds entries that still stand in the configuration.
+/// The object is named after its last entry, so that a retry writes the same object. If the
+/// configuration change then loses a race, the object is left behind with entries that are still in
+/// the configuration.
 ///
 /// # Errors
 ///
-/// When the store does not take them; they must stay in the configuration then.
+/// If the store does not accept the object. The entries must then stay in the configuration.
 pub fn archive(node: &Node, next: &Config, entries: &[AuditEntry]) -> Result<()> {
-    let last = entries.last().map_or(0, |e| e.generation);
-    let name = format!("{PREFIX}{last:012}-{}", next.archived_entries);
-    let body = serde_json::to_vec(entries).expect("audit entries are always valid JSON");
-    node.metrics.store_call("audit_write");
+    let last_generation = entries.last().map_or(0, |e| e.generation);
+    let name = format!(
+        "{ARCHIVE_PREFIX}{last_generation:012}-{}",
+        next.archived_entries
+    );
+    let body = serde_json::to_vec(entries).expect("audit entries can always be serialized as JSON");
+    node.metrics.count_store_call("audit_write");
     node.store.put(&name, &body, Expect::Absent).map(drop)
 }
 
-/// All entries, oldest first, each once.
+/// Reads all entries, oldest first and without duplicates.
 ///
 /// # Errors
 ///
-/// When the store does not give them.
-pub fn read(node: &Node) -> Result<Vec<AuditEntry>> {
+/// If a read from the store fails.
+pub fn read_all(node: &Node) -> Result<Vec<AuditEntry>> {
     let mut entries: Vec<AuditEntry> = Vec::new();
     let mut after = None;
     loop {
-        let page = node.store.list(PREFIX, after.as_deref())?;
+        let page = node.store.list(ARCHIVE_PREFIX, after.as_deref())?;
         for name in &page.names {
             if let Some(object) = node.store.get(name)? {
-                entries.extend(read_entries(&object.body));
+                entries.extend(parse_entries(&object.body));
             }
         }
         after = page.next_after;
@@ -54,6 +58,6 @@
     Ok(entries)
 }
 
-fn read_entries(body: &[u8]) -> Vec<AuditEntry> {
+fn parse_entries(body: &[u8]) -> Vec<AuditEntry> {
     serde_json::from_slice(body).unwrap_or_default()
 }
--- a/crates/ivyweird/src/bill.rs
+++ b/crates/ivyweird/src/bill.rs
@@ -1,4 +1,4 @@
-//! The bill: all segments in the store, joined; and the merging of small segments.
+//! The bill, computed from all billing segments in the store, and the merging of small segments.
 
 use std::collections::HashMap;
 
@@ -7,58 +7,59 @@
 
 use crate::node::Node;
 
-const PREFIX: &str = "bill/";
-/// Readings of the list before a bill is given up; each merge in between costs one or two.
-const READINGS: usize = 20;
-/// Segments that make a merge worth while.
-const MERGE_FROM: usize = 64;
-/// Largest merged segment; the store takes a megabyte.
-const MERGED_BYTES: usize = 800 << 10;
+const SEGMENT_PREFIX: &str = "bill/";
+/// Listings after which reading the bill fails; each concurrent merge costs one or two.
+const MAX_LISTINGS: usize = 20;
+/// Smallest number of unmerged segments for which a merge is worth its store calls.
+const MIN_SEGMENTS_TO_MERGE: usize = 64;
+/// Largest size of a merged segment; the store accepts objects of up to one megabyte.
+const MAX_MERGED_BYTES: usize = 800 << 10;
 
 /// Reads the bill.
 ///
-/// A segment may be merged away between the listing and its reading. The merged one was written
-/// before, so another listing shows it; what was read before stays right, as records are joined.
+/// A merge may delete a segment between the listing and the read. The merged segment was written
+/// before, so another listing includes it. Segments that were already read remain valid, because
+/// [`Bill`] counts each record once.
 ///
 /// # Errors
 ///
-/// When the store does not give all segments.
+/// If not all segments can be read.
 pub fn read(node: &Node) -> Result<Bill> {
     let mut segments: HashMap<String, Segment> = HashMap::new();
-    for _ in 0..READINGS {
-        let mut missed = false;
-        for name in list_all(node.store.as_ref())? {
+    for _ in 0..MAX_LISTINGS {
+        let mut segment_missing = false;
+        for name in list_segments(node.store.as_ref())? {
             if segments.contains_key(&name) {
                 continue;
             }
             match node.store.get(&name)? {
                 Some(object) => {
-                    let segment = read_segment(&name, &object.body)?;
+                    let segment = parse_segment(&name, &object.body)?;
                     segments.insert(name, segment);
                 }
-                None => missed = true,
+                None => segment_missing = true,
             }
         }
-        if !missed {
+        if !segment_missing {
             return Ok(Bill::from_segments(segments.into_values()));
         }
     }
     Err(Error::new(
         ErrorKind::Refused,
-        "bill: segments kept being merged",
+        format!("bill: segments were still being merged after {MAX_LISTINGS} listings"),
     ))
 }
 
-fn read_segment(name: &str, body: &[u8]) -> Result<Segment> {
+fn parse_segment(name: &str, body: &[u8]) -> Result<Segment> {
     serde_json::from_slice(body)
         .map_err(|e| Error::new(ErrorKind::Invalid, format!("segment {name}: {e}")))
 }
 
-fn list_all(store: &dyn ObjectStore) -> Result<Vec<String>> {
+fn list_segments(store: &dyn ObjectStore) -> Result<Vec<String>> {
     let mut names = Vec::new();
     let mut after: Option<String> = None;
     loop {
-        let page = store.list(PREFIX, after.as_deref())?;
+        let page = store.list(SEGMENT_PREFIX, after.as_deref())?;
         names.extend(page.names);
         after = page.next_after;
         if after.is_none() {
@@ -67,62 +68,62 @@
     }
 }
 
-/// Merges small segments into large ones; to be called by one box at a time.
+/// Merges small segments into large ones. Only one box may do this at a time.
 ///
-/// The merged segment is written before its parts are deleted. A part that stays, because this was
-/// interrupted, holds records that the merged one has too, and readers count them once.
+/// The merged segment is written before its sources are deleted. If the merge is interrupted, some
+/// sources remain; their records are in the merged segment as well, and readers count them once.
 ///
 /// # Errors
 ///
-/// When the store stops answering; what is done so far stands.
+/// If a store call fails. The merges completed so far remain valid.
 pub fn merge(node: &Node) -> Result<()> {
-    let names = list_all(node.store.as_ref())?;
+    let names = list_segments(node.store.as_ref())?;
     let small: Vec<&String> = names
         .iter()
         .filter(|n| !n.starts_with("bill/merged/"))
         .collect();
-    if small.len() < MERGE_FROM {
+    if small.len() < MIN_SEGMENTS_TO_MERGE {
         return Ok(());
     }
-    let mut parts: Vec<(String, u64)> = Vec::new();
+    let mut sources: Vec<(String, u64)> = Vec::new();
     let mut records: Vec<Record> = Vec::new();
     let mut bytes = 0;
     for name in small {
         let Some(object) = node.store.get(name)? else {
             continue;
         };
-        if bytes + object.body.len() > MERGED_BYTES {
-            write_merged(node, &mut parts, &mut records)?;
+        if bytes + object.body.len() > MAX_MERGED_BYTES {
+            write_merged(node, &mut sources, &mut records)?;
             bytes = 0;
         }
         bytes += object.body.len();
-        records.extend(read_segment(name, &object.body)?.records);
-        parts.push((name.clone(), object.revision));
+        records.extend(parse_segment(name, &object.body)?.records);
+        sources.push((name.clone(), object.revision));
     }
-    write_merged(node, &mut parts, &mut records)
+    write_merged(node, &mut sources, &mut records)
 }
 
 fn write_merged(
     node: &Node,
-    parts: &mut Vec<(String, u64)>,
+    sources: &mut Vec<(String, u64)>,
     records: &mut Vec<Record>,
 ) -> Result<()> {
-    let parts = std::mem::take(parts);
+    let sources = std::mem::take(sources);
     let segment = Segment {
         records: std::mem::take(records),
     };
-    if parts.len() < 2 {
+    if sources.len() < 2 {
         return Ok(());
     }
-    let name = format!("bill/merged/{}", node.unique());
-    let body = serde_json::to_vec(&segment).expect("a segment is always valid JSON");
-    node.metrics.store_call("bill_merge");
+    let name = format!("bill/merged/{}", node.unique_name());
+    let body = serde_json::to_vec(&segment).expect("a segment can always be serialized as JSON");
+    node.metrics.count_store_call("bill_merge");
     match node.store.put(&name, &body, Expect::Absent)? {
         PutOutcome::Written { .. } => {}
         PutOutcome::Conflict => return Ok(()),
     }
-    for (name, revision) in parts {
-        node.metrics.store_call("bill_delete");
+    for (name, revision) in sources {
+        node.metrics.count_store_call("bill_delete");
         node.store.delete(&name, revision)?;
     }
     Ok(())
--- a/crates/ivyweird/src/caller_api.rs
+++ b/crates/ivyweird/src/caller_api.rs
@@ -50,7 +50,7 @@
             return;
         }
         let outcome = self.answer(incoming);
-        self.node.metrics.request(outcome);
+        self.node.metrics.count_request(outcome);
     }
 }
 
@@ -60,7 +60,7 @@
             ("GET", "/healthz") => Some(Reply::text(200, "ok\n")),
             ("GET", "/readyz") if self.node.is_ready() => Some(Reply::text(200, "ready\n")),
             ("GET", "/readyz") => Some(Reply::text(503, "not ready\n")),
-            ("GET", "/metrics") => Some(Reply::text(200, self.node.metrics.text())),
+            ("GET", "/metrics") => Some(Reply::text(200, self.node.metrics.encode_text())),
             _ => None,
         }
     }
@@ -68,7 +68,7 @@
     /// Answers a request. Returns how it ended, for the count.
     fn answer(&self, incoming: Incoming) -> &'static str {
         let node = &self.node;
-        let entered = match node.enter() {
+        let entered = match node.admit() {
             Ok(entered) => entered,
             Err(refusal) => return refuse(incoming, &refusal),
         };
--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -65,5 +65,5 @@
     Reply::json(200, body)
         .with("X-Ivyweir-Version", answered.at.to_string())
         .with("X-Ivyweir-Request-Key", context.key.as_ref())
-        .with("X-Ivyweir-Box", context.node.me.box_name.as_ref())
+        .with("X-Ivyweir-Box", context.node.incarnation.box_name.as_ref())
 }
--- a/crates/ivyweird/src/confirm.rs
+++ b/crates/ivyweird/src/confirm.rs
@@ -29,7 +29,7 @@
 /// A sentence that says why nothing was tried.
 pub fn confirm(node: &Node, plan: &Plan, operator: &str) -> Result<ConfirmReply, String> {
     // A change accepted by a box that hears no majority might not reach the others.
-    if !freshness::may_accept_change(node.evidence()) {
+    if !freshness::may_accept_change(node.freshness_evidence()) {
         return Err("this box hears too few others to accept a change".into());
     }
     // A store that was set back must not get a second change of a generation that was in force.
@@ -49,7 +49,7 @@
 }
 
 fn round(node: &Node, plan: &Plan, operator: &str, tried_before: bool) -> Round {
-    node.metrics.store_call("config_read");
+    node.metrics.count_store_call("config_read");
     let object = match node.store.get(CONFIG_OBJECT) {
         Ok(Some(object)) => object,
         Ok(None) => return Round::InDoubt("the store has no configuration".into()),
@@ -79,7 +79,7 @@
 
 fn write(node: &Node, plan: &Plan, base: &Config, next: &Config, revision: u64) -> Round {
     let body = next.to_vec();
-    node.metrics.store_call("config_write");
+    node.metrics.count_store_call("config_write");
     match node
         .store
         .put(CONFIG_OBJECT, &body, Expect::Revision(revision))
@@ -138,7 +138,7 @@
     let Ok(plan) = Plan::create(&current.config, intent, node.settings.fleet_key()) else {
         return false;
     };
-    let name = format!("system/{}", node.me.box_name);
+    let name = format!("system/{}", node.incarnation.box_name);
     matches!(
         confirm(node, &plan, &name),
         Ok(ConfirmReply::Applied { .. })
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -67,7 +67,7 @@
             return Err(Refusal::not_run(Code::KeyRequired, text));
         }
         let given = marks.request_key.as_deref().map(Name::from);
-        let key = given.unwrap_or_else(|| node.unique());
+        let key = given.unwrap_or_else(|| node.unique_name());
         let arrived_ms = node.clock.now_ms();
         Ok(Self {
             class: class_name(&workspace, &marks.class),
@@ -176,14 +176,14 @@
     }
 
     fn claim(&self) -> Result<(), Refusal> {
-        if self.session.is_some() && self.node.sight() != Freshness::Fresh {
+        if self.session.is_some() && self.node.freshness() != Freshness::Fresh {
             // The store is out, and the session's authority is enough.
             return Ok(());
         }
         let nonce: Name = match &self.session {
             // The same for a repeat in the same session, whichever box holds the authority.
             Some(session) => format!("s/{}", session.nonce).into(),
-            None => self.node.unique(),
+            None => self.node.unique_name(),
         };
         match once::claim_key(self.node, &self.workspace, &self.key, &nonce) {
             Claimed::Granted => Ok(()),
--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -64,8 +64,8 @@
     });
     let turn = TURN.fetch_add(1, Ordering::Relaxed);
     pb::Digest {
-        r#box: node.me.box_name.to_string(),
-        incarnation: node.me.number,
+        r#box: node.incarnation.box_name.to_string(),
+        incarnation: node.incarnation.number,
         members,
         beat_ids: beats.iter().map(|b| b.member_id).collect(),
         beat_counts: beats.iter().map(|b| b.heartbeat as u32).collect(),
@@ -120,7 +120,7 @@
 ///
 /// A report that says what the one before said is of little use, so it is told less often.
 fn loads(node: &Node, now_ms: u64, turn: usize) -> Vec<pb::Load> {
-    let news_ms = NEWS_ROUNDS * node.timing().period_ms;
+    let news_ms = NEWS_ROUNDS * node.gossip_timing().period_ms;
     let max_age_ms = 4 * loads::interval(node).as_millis() as u64 + news_ms;
     node.gate.read_upstreams(|u| {
         let report = &u.report;
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -1,4 +1,5 @@
-//! Duties that one box does for all, under a lease: roll-outs, orders, keys, merging of bills.
+//! Duties that one box performs for the whole fleet under a lease: advancing roll-outs, ordering
+//! engines to withdraw versions, rotating the session key and merging billing segments.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,20 +14,20 @@
 use crate::node::Node;
 use crate::{bill, spread};
 
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two merges of billing segments.
-const MERGE_MS: u64 = 30_000;
-/// Boxes that stand by for the duties; the others need not look at the lease.
-const STANDBYS: usize = 3;
+const MERGE_INTERVAL_MS: u64 = 30_000;
+/// Number of boxes that try to acquire the lease; the others do not read it.
+const STANDBY_COUNT: usize = 3;
 
-/// Does the duties whenever this box holds their lease, for as long as it runs.
+/// Performs the duties while this box holds the lease, until the box stops.
 pub fn run(node: &Node) {
-    let mut lease = Lease::new("duties", node.me.clone());
-    let mut ordered: HashSet<(Name, Name)> = HashSet::new();
+    let mut lease = Lease::new("duties", node.incarnation.clone());
+    let mut sent_orders: HashSet<(Name, Name)> = HashSet::new();
     let mut merged_ms = 0;
     let mut held = false;
     while !node.is_stopped() {
-        node.pause(POLL);
+        node.pause(POLL_INTERVAL);
         if node.is_draining() || !(held || is_standby(node)) {
             continue;
         }
@@ -35,46 +36,49 @@
         if lease.is_held(now_ms) != held {
             held = !held;
             log::info!(
-                "{} the lease of the duties",
-                if held { "took" } else { "lost" }
+                "{} the lease for the duties",
+                if held { "acquired" } else { "lost" }
             );
-            ordered.clear();
+            sent_orders.clear();
         }
         if !held {
             continue;
         }
-        drive_rollouts(node, &lease);
-        order_withdrawals(node, &lease, &mut ordered);
+        advance_rollouts(node, &lease);
+        send_withdrawals(node, &lease, &mut sent_orders);
         rotate_session_key(node, &lease);
-        if now_ms > merged_ms + MERGE_MS {
+        if now_ms > merged_ms + MERGE_INTERVAL_MS {
             merged_ms = now_ms;
-            // What is not merged now is merged next time.
-            let _later = bill::merge(node);
+            // Segments that could not be merged are merged in a later run.
+            let _retried_later = bill::merge(node);
         }
     }
 }
 
 fn is_standby(node: &Node) -> bool {
-    let serving = node.serving();
+    let serving = node.serving_members();
     let names: Vec<&str> = serving.iter().map(|m| m.name.as_ref()).collect();
-    let top = ivyweir_policy::hash::rendezvous_top("duties", names, STANDBYS);
-    top.contains(&node.me.box_name.as_ref())
+    let standbys = ivyweir_policy::hash::rendezvous_top("duties", names, STANDBY_COUNT);
+    standbys.contains(&node.incarnation.box_name.as_ref())
 }
 
-/// Takes due steps and halts by guard. A step that another box took in between does not fit any
-/// more and changes nothing.
-fn drive_rollouts(node: &Node, lease: &Lease) {
+/// Applies the steps of roll-outs that are due, and halts those that fail their guard. If another
+/// box has applied the same step in the meantime, the plan no longer fits the configuration and has
+/// no effect.
+fn advance_rollouts(node: &Node, lease: &Lease) {
     let current = node.current();
     for (id, rollout) in &current.config.rollouts {
-        let at = VersionRef::new(rollout.model.clone(), rollout.to.clone());
-        let count = node.learning.across_classes(&at, Some(&rollout.workspace));
-        let seen = Observation {
-            rated: count.rated,
-            mean_quality: count.mean(),
-            done: count.done,
-            failed: count.failed,
+        let version = VersionRef::new(rollout.model.clone(), rollout.to.clone());
+        let counts = node
+            .learning
+            .across_classes(&version, Some(&rollout.workspace));
+        let observation = Observation {
+            rated: counts.rated,
+            mean_quality: counts.mean(),
+            done: counts.done,
+            failed: counts.failed,
         };
-        let Some(intent) = rollout::next_intent(id, rollout, seen, Clock::epoch_ms()) else {
+        let Some(intent) = rollout::next_intent(id, rollout, observation, Clock::epoch_ms()) else {
             continue;
         };
         if lease.is_held(node.clock.now_ms()) {
@@ -83,14 +87,14 @@
     }
 }
 
-/// Tells engines that check fences which versions are withdrawn; a repeat does no harm.
-fn order_withdrawals(node: &Node, lease: &Lease, ordered: &mut HashSet<(Name, Name)>) {
+/// Sends the withdrawn versions to engines that check fences. The orders are idempotent.
+fn send_withdrawals(node: &Node, lease: &Lease, sent_orders: &mut HashSet<(Name, Name)>) {
     let current = node.current();
     let config = &current.config;
     let withdrawn = config.models.iter().flat_map(|(model, entry)| {
         let versions = entry.versions.iter();
-        let gone = versions.filter(|(_, v)| v.state == VersionState::Withdrawn);
-        gone.map(|(name, _)| VersionRef::new(model.clone(), name.clone()))
+        let withdrawn = versions.filter(|(_, v)| v.state == VersionState::Withdrawn);
+        withdrawn.map(|(name, _)| VersionRef::new(model.clone(), name.clone()))
     });
     let withdrawn: Vec<VersionRef> = withdrawn.collect();
     if withdrawn.is_empty() {
@@ -104,24 +108,25 @@
         {
             continue;
         }
-        for at in &withdrawn {
-            let key = (upstream.name.clone(), Name::from(at.to_string()));
-            if ordered.contains(&key) || !lease.is_held(node.clock.now_ms()) {
+        for version in &withdrawn {
+            let key = (upstream.name.clone(), Name::from(version.to_string()));
+            if sent_orders.contains(&key) || !lease.is_held(node.clock.now_ms()) {
                 continue;
             }
             let order = Order {
                 fence: config.generation,
                 order: OrderKind::Withdraw,
-                version: at.to_string(),
+                version: version.to_string(),
             };
             if node.engine.order(&upstream.addr, &order).is_ok() {
-                ordered.insert(key);
+                sent_orders.insert(key);
             }
         }
     }
 }
 
-/// Adds a session key in time; old ones stay for as long as a token can live.
+/// Adds a session key when one is due, and keeps old keys for as long as tokens signed with them
+/// can be valid.
 fn rotate_session_key(node: &Node, lease: &Lease) {
     let current = node.current();
     let limits = &node.settings.limits;
@@ -137,7 +142,7 @@
     }
     let intent = Intent::RotateSessionKey {
         key: spread::new_session_key(),
-        // A token is signed by a key that was the newest, for at most one rotation after its making.
+        // A key signs tokens only while it is the newest one, at most one rotation after its creation.
         drop_before_ms: now_ms.saturating_sub(2 * limits.session_key_ms + limits.session_ms),
     };
     confirm::apply_own(node, &current, intent);
--- a/crates/ivyweird/src/forward.rs
+++ b/crates/ivyweird/src/forward.rs
@@ -67,7 +67,7 @@
         workspace: context.workspace.to_string(),
         key: context.key.to_string(),
     };
-    let others = context.node.serving();
+    let others = context.node.serving_members();
     let holder = context.claim_holder()?;
     let holder = others.iter().find(|m| m.name == holder.box_name)?;
     let reply = context
@@ -105,7 +105,7 @@
     let mut headers: Vec<pb::Header> = parsed.headers.iter().map(header_out).collect();
     headers.push(pb::Header {
         name: FORWARDED.into(),
-        value: context.node.me.box_name.to_string(),
+        value: context.node.incarnation.box_name.to_string(),
     });
     let request = pb::ForwardRequest {
         method: parsed.method.clone(),
@@ -131,13 +131,13 @@
 
 /// Answers a request that a peer forwarded; none if it is for another incarnation.
 pub fn answer(node: &Node, request: pb::ForwardRequest) -> Option<pb::ForwardReply> {
-    let for_me =
-        request.for_box == node.me.box_name.as_ref() && request.for_incarnation == node.me.number;
+    let for_me = request.for_box == node.incarnation.box_name.as_ref()
+        && request.for_incarnation == node.incarnation.number;
     if !for_me {
         return None;
     }
     // Counted, so that a planned stop waits for it; a stopping box still tells what it kept.
-    let entered = node.enter_forwarded();
+    let entered = node.admit_forwarded();
     let parsed = Parsed {
         method: request.method,
         path_and_query: request.path,
--- a/crates/ivyweird/src/ledger.rs
+++ b/crates/ivyweird/src/ledger.rs
@@ -13,7 +13,7 @@
 use ivyweir_policy::claim::Incarnation;
 use ivyweir_policy::{Code, Name, Refusal};
 
-use crate::segments::Flush;
+use crate::segments::PendingSegment;
 use crate::shards::lock;
 
 /// Longest time that the end of an answer waits for its record to be safe.
@@ -29,7 +29,7 @@
     pub(crate) held: Mutex<HashMap<Incarnation, BTreeMap<u64, Record>>>,
     /// Whether the newest record could be made safe.
     pub(crate) healthy: AtomicBool,
-    pub(crate) flushing: Mutex<Option<Flush>>,
+    pub(crate) flushing: Mutex<Option<PendingSegment>>,
     /// Addresses of the boxes that hold records of this one.
     pub(crate) holders: Mutex<BTreeSet<Name>>,
 }
--- a/crates/ivyweird/src/lib.rs
+++ b/crates/ivyweird/src/lib.rs
@@ -1,7 +1,8 @@
-//! The ivyweir daemon: one box of a model-aware router for versions and cascades.
+//! The ivyweir daemon: one box of a model-aware request router with version roll-outs and model
+//! cascades.
 //!
-//! A box answers callers, operators and peers, and does its part of the duties that boxes share. The
-//! decisions are in `ivyweir-policy`; here are the threads, the state and the calls.
+//! A box serves callers, operators and peers, and takes part in the duties that the fleet shares.
+//! The crate `ivyweir-policy` makes the decisions; this crate has the threads, the state and the I/O.
 //!
 //! ```no_run
 //! use std::path::Path;
@@ -34,7 +35,7 @@
 mod once;
 mod operator_api;
 mod peer_api;
-mod rate;
+mod rating;
 mod replica;
 mod route;
 mod run;
@@ -43,8 +44,8 @@
 mod session;
 mod settings;
 mod shards;
+mod shutdown;
 mod spread;
-mod stop;
 mod stream;
 
 use std::io;
@@ -65,116 +66,119 @@
 pub use ivyweir_gateway::SettingsError;
 pub use settings::Settings;
 
-const POLL: Duration = Duration::from_millis(20);
-const DUTY_STACK_BYTES: usize = 256 << 10;
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const THREAD_STACK_BYTES: usize = 256 << 10;
 const OPERATOR_THREADS: usize = 16;
-/// Time for peers to hear that this box has gone, after its last act.
-const FAREWELL: Duration = Duration::from_millis(600);
+/// Time for gossip to tell the peers that this box has left, after it has finished its work.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_millis(600);
 
-/// Runs a box until it is told to stop by a signal or by the box list.
+/// Runs a box until a signal or the box list tells it to stop.
 ///
 /// # Errors
 ///
-/// When an address cannot be bound or a thread not be made.
+/// If an address cannot be bound or a thread cannot be created.
 pub fn run(settings: Settings) -> io::Result<()> {
-    logging::start();
-    stop_on_broken_invariant();
-    let asked_to_stop = Arc::new(AtomicBool::new(false));
+    logging::init();
+    abort_on_panic();
+    let stop_requested = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
-        signal_hook::flag::register(signal, asked_to_stop.clone())?;
+        signal_hook::flag::register(signal, stop_requested.clone())?;
     }
     let node = Arc::new(Node::new(settings)?);
     let settings = &node.settings;
     let peer_api = Arc::new(PeerApi { node: node.clone() });
     let peer_server = PeerServer::start(&settings.peer_addr, settings.fleet_key(), peer_api)?;
     let operator_api = Arc::new(OperatorApi { node: node.clone() });
-    let operators = HttpServer::start(&settings.operator_addr, OPERATOR_THREADS, operator_api)?;
+    let operator_server =
+        HttpServer::start(&settings.operator_addr, OPERATOR_THREADS, operator_api)?;
     let caller_api = Arc::new(CallerApi { node: node.clone() });
     let max_requests = settings.limits.max_requests;
-    let callers = HttpServer::start(&settings.caller_addr, max_requests, caller_api)?;
-    let peers_at = peer_server.addr().to_string();
+    let caller_server = HttpServer::start(&settings.caller_addr, max_requests, caller_api)?;
+    let peer_addr = peer_server.addr().to_string();
     if settings.advertised_peer_addr.is_none() {
-        // Port 0 in the settings stands for any free one.
-        node.with_members(|table, _, _| table.set_peer_addr(peers_at.as_str().into()));
+        // With port 0 in the settings, the operating system chooses the port.
+        node.with_members(|table, _, _| table.set_peer_addr(peer_addr.as_str().into()));
     }
-    let duties = start_duties(&node)?;
+    let background_threads = spawn_background_threads(&node)?;
     log::info!(
-        "box {} started as {}, listening for callers at {}, operators at {}, peers at {peers_at}.",
-        node.me.box_name,
-        node.me.number,
-        callers.addr(),
-        operators.addr(),
+        "box {} started as {}, listening for callers at {}, operators at {}, peers at {peer_addr}.",
+        node.incarnation.box_name,
+        node.incarnation.number,
+        caller_server.addr(),
+        operator_server.addr(),
     );
-    while !asked_to_stop.load(Ordering::Relaxed) && !node.is_draining() {
-        thread::sleep(POLL);
+    while !stop_requested.load(Ordering::Relaxed) && !node.is_draining() {
+        thread::sleep(STOP_POLL_INTERVAL);
     }
-    stop::drain(&node);
-    stop::finish(&node);
-    thread::sleep(FAREWELL);
-    callers.stop();
-    operators.stop();
+    shutdown::drain(&node);
+    shutdown::finish(&node);
+    thread::sleep(LEAVE_PROPAGATION_TIME);
+    caller_server.stop();
+    operator_server.stop();
     node.stop();
-    for duty in duties {
-        duty.join().expect("invariant: no duty panics");
+    for thread in background_threads {
+        thread
+            .join()
+            .expect("invariant: a panic in a thread aborts the process");
     }
     drop(peer_server);
-    log::info!("box {} stopped", node.me.box_name);
+    log::info!("box {} stopped", node.incarnation.box_name);
     Ok(())
 }
 
-/// A broken invariant in any thread stops the process; nothing else panics.
-fn stop_on_broken_invariant() {
-    let report = std::panic::take_hook();
+/// Makes a panic in any thread abort the process. Only a broken invariant panics.
+fn abort_on_panic() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        report(info);
+        default_hook(info);
         std::process::abort();
     }));
 }
 
-fn start_duties(node: &Arc<Node>) -> io::Result<Vec<JoinHandle<()>>> {
-    let round = Arc::new(loads::Round::new());
-    let mut duties = vec![
-        start("exchange", node, spread::exchange_rounds)?,
-        start("watch-config", node, spread::watch_config)?,
-        start("watch-boxes", node, spread::watch_boxes)?,
-        start("push", node, spread::push_changes)?,
-        start("replicate", node, replica::replicate)?,
-        start("flush", node, flush_rounds)?,
-        start("duties", node, duties::run)?,
-        start("rate", node, rate::rate)?,
+fn spawn_background_threads(node: &Arc<Node>) -> io::Result<Vec<JoinHandle<()>>> {
+    let load_round = Arc::new(loads::Round::new());
+    let mut threads = vec![
+        spawn("exchange", node, spread::exchange_rounds)?,
+        spawn("watch-config", node, spread::watch_config)?,
+        spawn("watch-boxes", node, spread::watch_boxes)?,
+        spawn("push", node, spread::push_changes)?,
+        spawn("replicate", node, replica::replicate)?,
+        spawn("flush", node, flush_billing)?,
+        spawn("duties", node, duties::run)?,
+        spawn("rate", node, rating::run)?,
     ];
-    let plan = round.clone();
-    duties.push(start("plan-loads", node, move |node| {
-        loads::plan_rounds(node, &plan)
+    let round = load_round.clone();
+    threads.push(spawn("plan-loads", node, move |node| {
+        loads::plan_rounds(node, &round)
     })?);
     for _ in 0..loads::THREADS {
-        let round = round.clone();
-        duties.push(start("ask-loads", node, move |node| {
+        let round = load_round.clone();
+        threads.push(spawn("ask-loads", node, move |node| {
             loads::ask(node, &round)
         })?);
     }
-    Ok(duties)
+    Ok(threads)
 }
 
-fn start(
+fn spawn(
     name: &str,
     node: &Arc<Node>,
-    duty: impl FnOnce(&Node) + Send + 'static,
+    run: impl FnOnce(&Node) + Send + 'static,
 ) -> io::Result<JoinHandle<()>> {
     let node = node.clone();
     thread::Builder::new()
         .name(name.into())
-        .stack_size(DUTY_STACK_BYTES)
-        .spawn(move || duty(&node))
+        .stack_size(THREAD_STACK_BYTES)
+        .spawn(move || run(&node))
 }
 
-/// Writes billing records to the store, for this box and for those that are gone.
-fn flush_rounds(node: &Node) {
+/// Periodically writes billing records to the store, for this box and for departed boxes.
+fn flush_billing(node: &Node) {
     while !node.is_stopped() {
         node.pause(segments::flush_interval(node));
-        // A store that is out gets the same segment in the next round.
-        let _next_round = segments::flush(node);
-        segments::settle_for_others(node);
+        // If the store is unavailable, the next iteration writes the same segment.
+        let _retried_in_next_iteration = segments::flush(node);
+        segments::flush_for_departed(node);
         node.learning.forget(clock::Clock::epoch_ms());
         node.metrics
             .billing_pending
--- a/crates/ivyweird/src/loads.rs
+++ b/crates/ivyweird/src/loads.rs
@@ -48,9 +48,9 @@
 
 /// Says, round after round, which upstreams this box is to ask.
 pub fn plan_rounds(node: &Node, round: &Round) {
-    let me = hash_name(&node.me.box_name);
+    let me = hash_name(&node.incarnation.box_name);
     while !node.is_stopped() {
-        let serving = node.serving();
+        let serving = node.serving_members();
         let hashes: Vec<u64> = serving.iter().map(|m| hash_name(&m.name)).collect();
         let targets = node.gate.read_upstreams(|upstream| {
             let mine = upstream.state == BoxState::Live && is_mine(me, &hashes, upstream);
--- a/crates/ivyweird/src/metrics.rs
+++ b/crates/ivyweird/src/metrics.rs
@@ -1,54 +1,54 @@
-//! Counters, by `opentelemetry`, readable in the exposition text format.
+//! Metrics, collected by `opentelemetry` and exported in the Prometheus text format.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// All that this box counts.
+/// The metrics of one box.
 pub struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     upstream_calls: Counter<u64>,
-    /// Calls tried again at another upstream.
+    /// Calls retried at another upstream.
     pub retries: Counter<u64>,
-    /// Streams that went on at another upstream.
+    /// Streams resumed at another upstream.
     pub resumed_streams: Counter<u64>,
-    /// Billing records made.
+    /// Billing records created.
     pub billing_records: Counter<u64>,
     /// Billing segments written.
     pub billing_segments: Counter<u64>,
-    /// Claims written to the store.
+    /// Writes of claims to the store.
     pub claim_writes: Counter<u64>,
     /// Bytes of digests sent and received.
     pub digest_bytes: Counter<u64>,
-    /// Exchanges started.
+    /// Gossip exchanges started.
     pub exchanges: Counter<u64>,
-    /// Load reports asked for.
+    /// Load reports requested from upstreams.
     pub load_polls: Counter<u64>,
     store_calls: Counter<u64>,
     /// Ratings received.
     pub ratings: Counter<u64>,
     /// Generation of the configuration in force.
     pub generation: Gauge<u64>,
-    /// Boxes alive.
+    /// Number of serving boxes.
     pub boxes_alive: Gauge<u64>,
-    /// Records that are not in the store yet.
+    /// Billing records that are not in the store yet.
     pub billing_pending: Gauge<u64>,
-    /// Version verdicts that changed.
+    /// Changes of a verdict on a version.
     pub verdict_changes: Counter<u64>,
 }
 
 impl Metrics {
-    /// Counters that start at zero.
+    /// Creates the metrics, with all counters at zero.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .without_target_info()
             .build()
-            .expect("a fresh registry takes the exporter");
+            .expect("a new registry accepts the exporter");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("ivyweird");
         let counter = |name: &'static str| meter.u64_counter(name).build();
@@ -74,28 +74,28 @@
         }
     }
 
-    /// Counts a request by its outcome: `ok` or a refusal code.
-    pub fn request(&self, outcome: &'static str) {
+    /// Counts a request by its outcome: `ok` or the code of a refusal.
+    pub fn count_request(&self, outcome: &'static str) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Counts a call to an upstream by version and outcome.
-    pub fn upstream_call(&self, version: &str, outcome: &'static str) {
+    pub fn count_upstream_call(&self, version: &str, outcome: &'static str) {
         let version = KeyValue::new("version", version.to_owned());
         self.upstream_calls
             .add(1, &[version, KeyValue::new("outcome", outcome)]);
     }
 
     /// Counts a call to the store by its kind.
-    pub fn store_call(&self, kind: &'static str) {
+    pub fn count_store_call(&self, kind: &'static str) {
         self.store_calls.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// All metrics in the exposition text format.
-    pub fn text(&self) -> String {
+    /// Encodes all metrics in the Prometheus text format.
+    pub fn encode_text(&self) -> String {
         let mut text = Vec::new();
-        let written = TextEncoder::new().encode(&self.registry.gather(), &mut text);
-        written.expect("gathered metrics can be encoded");
+        let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut text);
+        encoded.expect("gathered metrics can be encoded");
         String::from_utf8_lossy(&text).into_owned()
     }
 }
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -1,4 +1,4 @@
-//! One box: all its state, shared by its threads.
+//! The state of one box, shared by all of its threads.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicUsize, Ordering};
@@ -22,83 +22,83 @@
 use crate::ledger::Ledger;
 use crate::metrics::Metrics;
 use crate::once::Once;
-use crate::rate::RatingQueue;
+use crate::rating::RatingQueue;
 use crate::settings::Settings;
 use crate::shards::lock;
 
-/// Time for one call to the platform.
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Time for one call to the platform that a caller waits for.
+/// Timeout of a call to the platform while a caller waits for the result.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A box.
+/// The shared state of a box.
 pub struct Node {
-    /// What it was told at its start.
+    /// Settings read at start-up.
     pub settings: Settings,
-    /// This start of the box.
-    pub me: Incarnation,
-    /// Time.
+    /// Identity of this run of the box: its name and the time of its start.
+    pub incarnation: Incarnation,
+    /// Monotonic clock of this process.
     pub clock: Clock,
-    /// Counters.
+    /// Counters and gauges.
     pub metrics: Metrics,
     /// The configuration in force.
     pub config: ConfigState,
-    /// The box list.
+    /// The box list last read from the platform.
     pub box_list: BoxListState,
-    /// The store.
+    /// The object store.
     pub store: Arc<dyn ObjectStore>,
-    /// The same store, for calls that a caller waits for.
+    /// The same object store with a shorter timeout, for calls that a caller waits for.
     pub claim_store: Arc<dyn ObjectStore>,
-    /// Where the box list comes from.
-    pub boxes: Arc<dyn BoxSource>,
-    /// Calls to engines.
+    /// Source of the box list.
+    pub box_source: Arc<dyn BoxSource>,
+    /// Client for engines.
     pub engine: Arc<dyn Engine>,
-    /// Calls to plain services.
+    /// Client for services other than engines.
     pub service: Arc<dyn Service>,
-    /// Ratings, if there is a service for them.
+    /// Client for the rating service, if one is configured.
     pub rater: Option<Arc<dyn Rater>>,
-    /// Calls to peers.
+    /// Client for peers.
     pub peers: Client,
-    /// Upstreams and the queues before them.
+    /// Upstreams and the queues of requests that wait for them.
     pub gate: Gate,
-    /// Quality estimates and verdicts.
+    /// Quality estimates and verdicts, by version.
     pub learning: Learning,
-    /// Answers to be rated.
+    /// Answers that wait to be rated.
     pub ratings: RatingQueue,
-    /// Billing.
+    /// Billing records that are not in the store yet.
     pub ledger: Ledger,
-    /// Requests that run at most once.
+    /// State of the requests that run at most once.
     pub once: Once,
     members: Mutex<MemberTable>,
     live_boxes: AtomicU32,
     in_progress: AtomicUsize,
     draining: AtomicBool,
-    warm: AtomicBool,
+    warmed_up: AtomicBool,
     started_ms: u64,
     stopped: AtomicBool,
-    stopping: (Mutex<()>, Condvar),
+    stop_signal: (Mutex<()>, Condvar),
 }
 
-/// Counts a request in progress for as long as it lives.
-pub struct InProgress<'a> {
+/// Counts a request as in progress until it is dropped.
+pub struct RequestGuard<'a> {
     node: &'a Node,
 }
 
-impl Drop for InProgress<'_> {
+impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
         self.node.in_progress.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl Node {
-    /// A box with these settings, not yet listening.
+    /// Creates the state of a box that does not listen yet.
     ///
     /// # Errors
     ///
-    /// When threads cannot be made.
+    /// If the threads of the peer client cannot be created.
     pub fn new(settings: Settings) -> io::Result<Self> {
         let clock = Clock::start();
-        let me = Incarnation {
+        let incarnation = Incarnation {
             box_name: settings.box_name.clone(),
             number: Clock::epoch_ms(),
         };
@@ -107,9 +107,9 @@
             let rater: Arc<dyn Rater> = Arc::new(HttpRater::new(url));
             rater
         });
-        let table = MemberTable::new(Member {
+        let members = MemberTable::new(Member {
             name: settings.box_name.clone(),
-            incarnation: me.number,
+            incarnation: incarnation.number,
             heartbeat: 0,
             leaving: false,
             hall: settings.hall.clone(),
@@ -123,25 +123,25 @@
             box_list: BoxListState::default(),
             store: platform.clone(),
             claim_store: Arc::new(HttpPlatform::new(&settings.platform_url, CLAIM_TIMEOUT)),
-            boxes: platform,
+            box_source: platform,
             engine: Arc::new(HttpEngine),
             service: Arc::new(HttpService),
             rater,
             peers: Client::new(settings.fleet_key())?,
             gate: Gate::new(&settings),
-            learning: Learning::new(&me),
+            learning: Learning::new(&incarnation),
             ratings: RatingQueue::new(),
             ledger: Ledger::new(settings.limits.max_billing_bytes),
-            once: Once::new(&me),
-            members: Mutex::new(table),
+            once: Once::new(&incarnation),
+            members: Mutex::new(members),
             live_boxes: AtomicU32::new(1),
             in_progress: AtomicUsize::new(0),
             draining: AtomicBool::new(false),
-            warm: AtomicBool::new(false),
+            warmed_up: AtomicBool::new(false),
             started_ms: clock.now_ms(),
             stopped: AtomicBool::new(false),
-            stopping: (Mutex::new(()), Condvar::new()),
-            me,
+            stop_signal: (Mutex::new(()), Condvar::new()),
+            incarnation,
             clock,
             settings,
         })
@@ -152,108 +152,114 @@
         self.config.get()
     }
 
-    /// Runs `f` with the membership table, its timing and the time.
+    /// Calls `f` with the locked membership table, the gossip timing and the current time.
     pub fn with_members<T>(&self, f: impl FnOnce(&mut MemberTable, &GossipTiming, u64) -> T) -> T {
         let mut table = lock(&self.members);
-        let timing = self.timing();
+        let timing = self.gossip_timing();
         f(&mut table, &timing, self.clock.now_ms())
     }
 
-    /// Times that fit the fleet as it is.
-    pub fn timing(&self) -> GossipTiming {
+    /// Gossip timing for the current size of the fleet.
+    pub fn gossip_timing(&self) -> GossipTiming {
         GossipTiming::for_fleet(self.live_boxes() as usize)
     }
 
-    /// Boxes that serve, this one included.
+    /// Number of serving boxes, including this one.
     pub fn live_boxes(&self) -> u32 {
         self.live_boxes.load(Ordering::Relaxed).max(1)
     }
 
-    /// Counts the serving boxes anew.
-    pub fn count_live_boxes(&self) {
-        let serving = self.serving().len() as u32;
+    /// Recounts the serving boxes.
+    pub fn update_live_boxes(&self) {
+        let serving = self.serving_members().len() as u32;
         self.live_boxes.store(serving, Ordering::Relaxed);
         self.metrics.boxes_alive.record(u64::from(serving), &[]);
     }
 
-    /// Members that are alive and stay.
-    pub fn serving(&self) -> Vec<Member> {
+    /// Members that are alive and not leaving.
+    pub fn serving_members(&self) -> Vec<Member> {
         self.with_members(|table, timing, now_ms| table.serving(timing, now_ms))
     }
 
-    /// The record of a member, whatever its health.
+    /// The membership record of a box, regardless of its health.
     pub fn member(&self, name: &str) -> Option<Member> {
         self.with_members(|table, _, _| table.get(name).cloned())
     }
 
-    /// What this box knows about the freshness of its configuration.
-    pub fn evidence(&self) -> FreshnessEvidence {
-        let (listed, heard) = self
+    /// Evidence for the freshness of this box's configuration.
+    pub fn freshness_evidence(&self) -> FreshnessEvidence {
+        let (listed, alive) = self
             .with_members(|table, timing, now_ms| table.listed_and_alive_counts(timing, now_ms));
         FreshnessEvidence {
             proof_age_ms: self.config.proof_age_ms(self.clock.now_ms()),
             listed_boxes: listed,
-            alive_boxes: heard,
+            alive_boxes: alive,
         }
     }
 
-    /// Whether some member has a newer configuration than this box.
+    /// Whether any member has a newer configuration than this box.
     pub fn is_behind(&self) -> bool {
         let generation = self.config.generation();
         self.with_members(|table, _, _| table.members().any(|r| r.generation > generation))
     }
 
-    /// Whether this box may serve on its configuration.
-    pub fn sight(&self) -> Freshness {
-        freshness::assess(self.evidence())
+    /// Freshness of this box's configuration, which decides whether it may serve.
+    pub fn freshness(&self) -> Freshness {
+        freshness::assess(self.freshness_evidence())
     }
 
-    /// Counts a request in, unless this box stops or cannot tell whether its configuration holds.
+    /// Admits a request from a caller.
     ///
     /// # Errors
     ///
-    /// A refusal; the request has not run then.
-    pub fn enter(&self) -> Result<InProgress<'_>, Refusal> {
-        let entered = self.enter_forwarded()?;
+    /// If this box is draining or cannot show that its configuration is current. The request has not
+    /// run in this case.
+    pub fn admit(&self) -> Result<RequestGuard<'_>, Refusal> {
+        let guard = self.admit_forwarded()?;
         if self.is_draining() {
             return Err(
                 Refusal::not_run(Code::Draining, "this box is stopping").with_retry_after(0)
             );
         }
-        Ok(entered)
+        Ok(guard)
     }
 
-    /// Counts a request of a peer in, also while this box stops: its authority decides then.
+    /// Admits a request that a peer forwarded, even while this box is draining: whether it may run
+    /// is then decided by this box's authority over the session.
     ///
     /// # Errors
     ///
-    /// A refusal; the request has not run then.
-    pub fn enter_forwarded(&self) -> Result<InProgress<'_>, Refusal> {
+    /// If this box cannot show that its configuration is current. The request has not run in this
+    /// case.
+    pub fn admit_forwarded(&self) -> Result<RequestGuard<'_>, Refusal> {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
-        let entered = InProgress { node: self };
-        if self.config.generation() == 0 || !self.sight().admits_requests() {
-            let text = "this box cannot show that its configuration is current";
-            return Err(Refusal::not_run(Code::StaleConfig, text).with_retry_after(STALE_HINT_MS));
+        let guard = RequestGuard { node: self };
+        if self.config.generation() == 0 || !self.freshness().admits_requests() {
+            let message = "this box cannot show that its configuration is current";
+            return Err(Refusal::not_run(Code::StaleConfig, message)
+                .with_retry_after(STALE_CONFIG_RETRY_AFTER_MS));
         }
-        Ok(entered)
+        Ok(guard)
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Acquire)
     }
 
-    /// Whether this box may be sent callers.
+    /// Whether this box is ready to receive requests from callers.
     pub fn is_ready(&self) -> bool {
-        let admits = self.config.generation() > 0 && self.sight().admits_requests();
-        !self.is_draining() && admits && self.is_warm()
+        let admits_requests = self.config.generation() > 0 && self.freshness().admits_requests();
+        !self.is_draining() && admits_requests && self.is_warmed_up()
     }
 
-    /// Whether this box has heard what most upstreams offer, or has waited long enough for it.
+    /// Whether the box list is known and at least half of its live upstreams have reported their load,
+    /// or the warm-up has timed out.
     ///
-    /// A box that was just started would refuse callers for want of an upstream otherwise.
-    fn is_warm(&self) -> bool {
-        if self.warm.load(Ordering::Relaxed) {
+    /// Without a warm-up, a box that has just started would refuse requests because it knows no
+    /// usable upstream.
+    fn is_warmed_up(&self) -> bool {
+        if self.warmed_up.load(Ordering::Relaxed) {
             return true;
         }
         let live = self
@@ -261,56 +267,56 @@
             .read_upstreams(|u| (u.state == BoxState::Live).then_some(u.report.at_ms));
         let reported = live.iter().filter(|at_ms| **at_ms > 0).count();
         let has_list = self.box_list.get().generation > 0;
-        let waited = self.clock.now_ms() > self.started_ms + WARM_UP_MS;
-        let warm = waited || (has_list && reported * 2 >= live.len());
-        self.warm.store(warm, Ordering::Relaxed);
-        warm
+        let timed_out = self.clock.now_ms() > self.started_ms + WARM_UP_TIMEOUT_MS;
+        let warmed_up = timed_out || (has_list && reported * 2 >= live.len());
+        self.warmed_up.store(warmed_up, Ordering::Relaxed);
+        warmed_up
     }
 
-    /// Takes no new requests from now on. Returns whether it took some before.
+    /// Stops admitting new requests. Returns whether this call started the draining.
     pub fn drain(&self) -> bool {
         !self.draining.swap(true, Ordering::AcqRel)
     }
 
-    /// Whether this box stops.
+    /// Whether this box is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Ends the duties.
+    /// Tells the background threads to end.
     pub fn stop(&self) {
-        let _pausing = lock(&self.stopping.0);
+        let _guard = lock(&self.stop_signal.0);
         self.stopped.store(true, Ordering::Release);
-        self.stopping.1.notify_all();
+        self.stop_signal.1.notify_all();
     }
 
-    /// Waits, but not beyond the end of the duties.
-    pub fn pause(&self, time: Duration) {
-        let pausing = lock(&self.stopping.0);
-        let ended = self
-            .stopping
+    /// Sleeps for `timeout`, or until the background threads are told to end.
+    pub fn pause(&self, timeout: Duration) {
+        let guard = lock(&self.stop_signal.0);
+        let wait_result = self
+            .stop_signal
             .1
-            .wait_timeout_while(pausing, time, |()| !self.is_stopped());
-        drop(ended.expect("no thread panicked with the lock"));
+            .wait_timeout_while(guard, timeout, |()| !self.is_stopped());
+        drop(wait_result.expect("no thread panics while it holds the lock"));
     }
 
-    /// Whether the duties are to end.
+    /// Whether the background threads have been told to end.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Acquire)
     }
 
-    /// A name no other request has.
-    pub fn unique(&self) -> Name {
+    /// Creates a name that is unique across the fleet.
+    pub fn unique_name(&self) -> Name {
         format!(
             "{}-{:x}-{:016x}",
-            self.me.box_name,
-            self.me.number,
+            self.incarnation.box_name,
+            self.incarnation.number,
             rand::random::<u64>()
         )
         .into()
     }
 }
 
-const STALE_HINT_MS: u64 = 500;
-/// Longest time that a box waits after its start for what upstreams offer.
-const WARM_UP_MS: u64 = 3_000;
+const STALE_CONFIG_RETRY_AFTER_MS: u64 = 500;
+/// Longest time after the start for which a box waits for the load reports of its upstreams.
+const WARM_UP_TIMEOUT_MS: u64 = 3_000;
--- a/crates/ivyweird/src/once.rs
+++ b/crates/ivyweird/src/once.rs
@@ -66,7 +66,7 @@
 
     /// Asks to run `key`, for a session that `opener` opened or for none.
     pub fn begin(&self, opener: &Incarnation, key: &Name) -> Permit {
-        match self.shards.of(key).authority.begin(opener, key) {
+        match self.shards.lock_for(key).authority.begin(opener, key) {
             BeginOutcome::Run => Permit::Run,
             BeginOutcome::Completed(reply) => Permit::Kept(reply),
             BeginOutcome::Running => Permit::Refused(Refusal::unknown(
@@ -86,7 +86,7 @@
 
     /// Keeps the answer of a key that ran here.
     pub fn finish(&self, key: &Name, reply: &Reply) {
-        let mut shard = self.shards.of(key);
+        let mut shard = self.shards.lock_for(key);
         if reply.body.len() > MAX_KEPT_BYTES {
             shard.authority.mark_lost(key);
             return;
@@ -102,12 +102,12 @@
 
     /// Notes that a key ran, or may have, without an answer.
     pub fn lose(&self, key: &Name) {
-        self.shards.of(key).authority.mark_lost(key);
+        self.shards.lock_for(key).authority.mark_lost(key);
     }
 
     /// Takes back a key of which nothing has left for an upstream.
     pub fn release(&self, key: &Name) {
-        self.shards.of(key).authority.release(key);
+        self.shards.lock_for(key).authority.release(key);
     }
 
     /// Runs no key any more and passes the used ones on. Returns the one successor and the keys.
@@ -128,7 +128,7 @@
         let mut adopted = true;
         // Each key goes to its own shard before any shard answers for the sessions.
         for key in by_shard.drain(..) {
-            self.shards.of(&key).authority.mark_lost(&key);
+            self.shards.lock_for(&key).authority.mark_lost(&key);
         }
         for mut shard in self.shards.iter() {
             adopted &= shard.authority.adopt(from.clone(), Vec::new());
@@ -146,7 +146,7 @@
             status: status.into(),
             ..Default::default()
         };
-        match self.shards.of(key).authority.begin(&nobody, key) {
+        match self.shards.lock_for(key).authority.begin(&nobody, key) {
             BeginOutcome::Completed(reply) => pb::OutcomeReply {
                 status: pb::OutcomeStatus::OutcomeKept.into(),
                 http_status: u32::from(reply.status),
@@ -192,19 +192,19 @@
         workspace: workspace.to_owned(),
         key: key.to_owned(),
         nonce: nonce.to_string(),
-        r#box: node.me.box_name.to_string(),
-        incarnation: node.me.number,
+        r#box: node.incarnation.box_name.to_string(),
+        incarnation: node.incarnation.number,
         at_ms: Clock::epoch_ms(),
     };
     let shard = claim::shard(workspace, key);
-    let serving = node.serving();
+    let serving = node.serving_members();
     let names: Vec<&str> = serving.iter().map(|r| r.name.as_ref()).collect();
     let owner = hash::rendezvous_top(&format!("claim/{shard}"), names, 1)
         .first()
         .copied();
     let remote = serving
         .iter()
-        .find(|r| Some(r.name.as_ref()) == owner && r.name != node.me.box_name);
+        .find(|r| Some(r.name.as_ref()) == owner && r.name != node.incarnation.box_name);
     if let Some(owner) = remote
         && let Ok(reply) = node.peers.claim(&owner.peer_addr, request.clone())
         && reply.status() != pb::ClaimStatus::ClaimUnknown
@@ -271,7 +271,7 @@
     object: &str,
     request: &pb::ClaimRequest,
 ) -> Result<Option<Claimed>, ErrorKind> {
-    node.metrics.store_call("claim_read");
+    node.metrics.count_store_call("claim_read");
     let held = node.claim_store.get(object).map_err(|e| e.kind())?;
     let (mut journal, expect) = match &held {
         None => (Journal::default(), Expect::Absent),
@@ -303,7 +303,7 @@
     }
     journal.remove_expired(Clock::epoch_ms());
     let body = serde_json::to_vec(&journal).expect("a journal is always valid JSON");
-    node.metrics.store_call("claim_write");
+    node.metrics.count_store_call("claim_write");
     node.metrics.claim_writes.add(1, &[]);
     match node
         .claim_store
--- a/crates/ivyweird/src/operator_api.rs
+++ b/crates/ivyweird/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The paths that operators use.
+//! The HTTP API for operators.
 
 use std::sync::Arc;
 
@@ -18,25 +18,25 @@
 use crate::node::Node;
 use crate::{audit, bill};
 
-/// Answers operators.
+/// Handles the requests of operators.
 pub struct OperatorApi {
-    /// The box.
+    /// State of the box.
     pub node: Arc<Node>,
 }
 
-/// An operator who has proved who they are.
+/// An authenticated operator.
 struct Operator {
     name: Name,
     role: Role,
 }
 
-/// A call that is not answered as hoped.
-struct Refused {
+/// An error reply: its HTTP status and the text of the problem.
+struct ApiError {
     status: u16,
     problem: String,
 }
 
-impl Refused {
+impl ApiError {
     #[cold]
     fn new(status: u16, problem: impl Into<String>) -> Self {
         Self {
@@ -46,7 +46,7 @@
     }
 }
 
-impl From<ivyweir_policy::Error> for Refused {
+impl From<ivyweir_policy::Error> for ApiError {
     fn from(error: ivyweir_policy::Error) -> Self {
         let status = match error.kind() {
             ErrorKind::NotFound => 404,
@@ -58,7 +58,7 @@
     }
 }
 
-impl From<ivyweir_platform::Error> for Refused {
+impl From<ivyweir_platform::Error> for ApiError {
     fn from(error: ivyweir_platform::Error) -> Self {
         Self::new(503, format!("store: {error}"))
     }
@@ -66,86 +66,96 @@
 
 impl Handler for OperatorApi {
     fn handle(&self, mut incoming: Incoming) {
-        let reply = self.answer(&mut incoming).unwrap_or_else(|refused| {
+        let reply = self.route(&mut incoming).unwrap_or_else(|error| {
             let problem = Problem {
-                problem: refused.problem,
+                problem: error.problem,
             };
-            json(refused.status, &problem)
+            json_reply(error.status, &problem)
         });
         let _caller_gone = incoming.reply(reply);
     }
 }
 
-fn json<T: Serialize>(status: u16, message: &T) -> Reply {
-    let body = serde_json::to_vec(message).expect("a message is always valid JSON");
+fn json_reply<T: Serialize>(status: u16, message: &T) -> Reply {
+    let body = serde_json::to_vec(message).expect("a message can always be serialized as JSON");
     Reply::json(status, body)
 }
 
-fn read<T: DeserializeOwned>(incoming: &mut Incoming) -> Result<T, Refused> {
+fn parse_body<T: DeserializeOwned>(incoming: &mut Incoming) -> Result<T, ApiError> {
     let body = incoming
         .read_body()
-        .map_err(|r| Refused::new(r.code.http_status(), r.message))?;
-    serde_json::from_slice(&body).map_err(|e| Refused::new(400, format!("body: {e}")))
+        .map_err(|r| ApiError::new(r.code.http_status(), r.message))?;
+    serde_json::from_slice(&body).map_err(|e| ApiError::new(400, format!("body: {e}")))
 }
 
 impl OperatorApi {
-    fn answer(&self, incoming: &mut Incoming) -> Result<Reply, Refused> {
+    fn route(&self, incoming: &mut Incoming) -> Result<Reply, ApiError> {
         let head = incoming.check_head();
-        head.map_err(|r| Refused::new(r.code.http_status(), r.message))?;
+        head.map_err(|r| ApiError::new(r.code.http_status(), r.message))?;
         let operator = self.authenticate(incoming)?;
         let path = incoming.path().to_owned();
         match (incoming.method(), path.as_str()) {
-            ("GET", "/v1/status") => Ok(json(200, &status(&self.node))),
-            ("GET", "/v1/config") => Ok(json(200, &without_secrets(&self.node))),
-            ("GET", "/v1/audit") => Ok(json(200, &self.audit()?)),
-            ("GET", "/v1/bill") => Ok(json(200, &bill::read(&self.node)?)),
+            ("GET", "/v1/status") => Ok(json_reply(200, &status(&self.node))),
+            ("GET", "/v1/config") => Ok(json_reply(200, &redacted_config(&self.node))),
+            ("GET", "/v1/audit") => Ok(json_reply(200, &self.audit()?)),
+            ("GET", "/v1/bill") => Ok(json_reply(200, &bill::read(&self.node)?)),
             ("POST", "/v1/plans") => self.plan(&operator, incoming),
             ("POST", "/v1/plans/check") => {
-                let plan: Plan = read(incoming)?;
-                Ok(json(200, &self.check(&plan)))
+                let plan: Plan = parse_body(incoming)?;
+                Ok(json_reply(200, &self.check(&plan)))
             }
             ("POST", "/v1/plans/confirm") => self.confirm(&operator, incoming),
-            _ => Err(Refused::new(404, "no such path")),
+            _ => Err(ApiError::new(404, "no such path")),
         }
     }
 
-    fn authenticate(&self, incoming: &Incoming) -> Result<Operator, Refused> {
-        let unknown = || Refused::new(401, "Authorization: expected Bearer and an operator key");
+    fn authenticate(&self, incoming: &Incoming) -> Result<Operator, ApiError> {
+        let unauthenticated =
+            || ApiError::new(401, "Authorization: expected Bearer and an operator key");
         let key = incoming
             .header("Authorization")
             .and_then(|v| v.strip_prefix("Bearer "))
-            .ok_or_else(unknown)?;
+            .ok_or_else(unauthenticated)?;
         let current = self.node.current();
         let hash = blake3::hash(key.trim().as_bytes());
-        let (name, operator) = current.config.operator_by_key(&hash).ok_or_else(unknown)?;
+        let (name, operator) = current
+            .config
+            .operator_by_key(&hash)
+            .ok_or_else(unauthenticated)?;
         Ok(Operator {
             name: name.clone(),
             role: operator.role,
         })
     }
 
-    fn require_editor(operator: &Operator) -> Result<(), Refused> {
+    fn require_editor(operator: &Operator) -> Result<(), ApiError> {
         if operator.role >= Role::Editor {
             return Ok(());
         }
-        Err(Refused::new(
+        Err(ApiError::new(
             403,
-            format!("{} may look, not change", operator.name),
+            format!(
+                "operator {} may only read; changes require the role editor",
+                operator.name
+            ),
         ))
     }
 
-    fn plan(&self, operator: &Operator, incoming: &mut Incoming) -> Result<Reply, Refused> {
+    fn plan(&self, operator: &Operator, incoming: &mut Incoming) -> Result<Reply, ApiError> {
         Self::require_editor(operator)?;
-        let intent: Intent = read(incoming)?;
+        let intent: Intent = parse_body(incoming)?;
         if matches!(
             intent,
             Intent::RotateSessionKey { .. } | Intent::Step { .. }
         ) {
-            return Err(Refused::new(400, "kind: this intent is the system's own"));
+            return Err(ApiError::new(
+                400,
+                "kind: this intent is reserved for the system",
+            ));
         }
         let current = self.node.current();
         let plan = Plan::create(&current.config, intent, self.node.settings.fleet_key())?;
-        Ok(json(200, &plan))
+        Ok(json_reply(200, &plan))
     }
 
     fn check(&self, plan: &Plan) -> PlanCheck {
@@ -157,22 +167,22 @@
         }
     }
 
-    fn confirm(&self, operator: &Operator, incoming: &mut Incoming) -> Result<Reply, Refused> {
+    fn confirm(&self, operator: &Operator, incoming: &mut Incoming) -> Result<Reply, ApiError> {
         Self::require_editor(operator)?;
-        let plan: Plan = read(incoming)?;
+        let plan: Plan = parse_body(incoming)?;
         plan.verify(self.node.settings.fleet_key())?;
         let reply = confirm::confirm(&self.node, &plan, &operator.name)
-            .map_err(|refusal| Refused::new(503, refusal))?;
-        Ok(json(200, &reply))
+            .map_err(|refusal| ApiError::new(503, refusal))?;
+        Ok(json_reply(200, &reply))
     }
 
-    fn audit(&self) -> Result<Vec<AuditEntry>, Refused> {
-        Ok(audit::read(&self.node)?)
+    fn audit(&self) -> Result<Vec<AuditEntry>, ApiError> {
+        Ok(audit::read_all(&self.node)?)
     }
 }
 
-/// The configuration without what signs and proves.
-fn without_secrets(node: &Node) -> Config {
+/// The configuration with signing keys and key hashes replaced.
+fn redacted_config(node: &Node) -> Config {
     let mut config = node.current().config.clone();
     for key in &mut config.session_keys {
         key.secret_hex = "(hidden)".into();
@@ -188,15 +198,15 @@
 
 fn status(node: &Node) -> Status {
     let current = node.current();
-    let sight = match node.sight() {
+    let freshness = match node.freshness() {
         Freshness::Fresh => "fresh",
         Freshness::StoreUnavailable => "store_out",
         Freshness::Partitioned => "blind",
     };
     Status {
-        seen_from: node.me.box_name.clone(),
+        seen_from: node.incarnation.box_name.clone(),
         generation: current.config.generation,
-        sight: sight.to_owned(),
+        sight: freshness.to_owned(),
         proof_age_ms: node.config.proof_age_ms(node.clock.now_ms()),
         boxes: boxes(node),
         upstreams: upstreams(node),
@@ -283,16 +293,16 @@
             .map(|v| VersionRef::new(model.clone(), v.clone()))
     });
     versions
-        .map(|at| {
-            let count = node.learning.across_classes(&at, None);
-            let version: Name = at.to_string().into();
+        .map(|version| {
+            let counts = node.learning.across_classes(&version, None);
+            let version_name: Name = version.to_string().into();
             ExposureStatus {
-                bad: node.learning.is_bad(&version, now_ms),
-                version,
-                done: count.done,
-                failed: count.failed,
-                rated: count.rated,
-                mean_quality: count.mean(),
+                bad: node.learning.is_bad(&version_name, now_ms),
+                version: version_name,
+                done: counts.done,
+                failed: counts.failed,
+                rated: counts.rated,
+                mean_quality: counts.mean(),
             }
         })
         .collect()
--- a/crates/ivyweird/src/peer_api.rs
+++ b/crates/ivyweird/src/peer_api.rs
@@ -1,4 +1,4 @@
-//! What this box answers its peers.
+//! The service that a box offers to its peers.
 
 use std::sync::Arc;
 
@@ -9,24 +9,25 @@
 use crate::node::Node;
 use crate::{digest, forward, once, spread};
 
-/// Answers peers out of the box's state.
+/// Answers the calls of peers from the state of the box.
 pub struct PeerApi {
-    /// The box.
+    /// State of the box.
     pub node: Arc<Node>,
 }
 
 impl Peer for PeerApi {
     fn exchange(&self, digest: pb::Digest) -> pb::Digest {
-        let lacking = digest::merge(&self.node, &digest);
-        // What is newer at the sender is fetched in this box's own next round with it.
+        let missing = digest::merge(&self.node, &digest);
+        // Documents that are newer at the sender are fetched when this box itself next exchanges
+        // digests with it.
         let tell = Tell {
-            members: lacking.members,
+            members: missing.members,
             sets: digest.wants_sets,
-            wants_sets: lacking.sets,
+            wants_sets: missing.sets,
         };
-        let answer = digest::build(&self.node, tell);
-        spread::count_bytes(&self.node, [&digest, &answer]);
-        answer
+        let reply = digest::build(&self.node, tell);
+        spread::count_bytes(&self.node, [&digest, &reply]);
+        reply
     }
 
     fn push(&self, document: pb::Document) -> bool {
@@ -63,8 +64,8 @@
             box_name: request.r#box.as_str().into(),
             number: request.incarnation,
         };
-        let used = request.keys.iter().map(|k| k.as_str().into()).collect();
-        let adopted = !self.node.is_draining() && self.node.once.adopt(&from, used);
+        let used_keys = request.keys.iter().map(|k| k.as_str().into()).collect();
+        let adopted = !self.node.is_draining() && self.node.once.adopt(&from, used_keys);
         if adopted {
             log::info!("took over the sessions of {}", from.box_name);
         }
--- a/crates/ivyweird/src/rate.rs
+++ b/crates/ivyweird/src/rating.rs
@@ -1,4 +1,4 @@
-//! Ratings: a sample of the answers, within the rating service's limit.
+//! Rating of a sample of the answers, within the rate limit of the rating service.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -9,42 +9,42 @@
 use crate::learn::Observation;
 use crate::node::Node;
 
-/// Samples that wait; with a slow rating service later ones are dropped.
-const MAX_WAITING: usize = 32;
-const POLL: Duration = Duration::from_millis(200);
+/// Capacity of the queue; when the rating service is slow, further samples are dropped.
+const MAX_QUEUED_SAMPLES: usize = 32;
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// An answer that may be rated.
+/// An answer to be rated.
 #[derive(Debug, Clone)]
 pub struct Sample {
     /// The prompt.
     pub prompt: String,
-    /// The answer's text.
+    /// Text of the answer.
     pub answer: String,
-    /// What it is counted under.
+    /// What the rating counts for: the version, the workspace and class, and the confidence bucket.
     pub observation: Observation,
-    /// What its version should give.
-    pub expected: f64,
+    /// Quality expected of the version.
+    pub expected_quality: f64,
 }
 
-/// Answers that wait for a rating.
+/// Queue of the answers that wait to be rated.
 pub struct RatingQueue {
     sender: Sender<Sample>,
     receiver: Receiver<Sample>,
-    next_ms: AtomicU64,
+    next_rating_ms: AtomicU64,
 }
 
 impl RatingQueue {
-    /// Nothing waits.
+    /// Creates an empty queue.
     pub fn new() -> Self {
-        let (sender, receiver) = bounded(MAX_WAITING);
+        let (sender, receiver) = bounded(MAX_QUEUED_SAMPLES);
         Self {
             sender,
             receiver,
-            next_ms: AtomicU64::new(0),
+            next_rating_ms: AtomicU64::new(0),
         }
     }
 
-    /// Offers an answer; it is dropped when enough wait.
+    /// Queues an answer, or drops it if the queue is full.
     pub fn offer(&self, sample: Sample) {
         let _dropped_when_full = self.sender.try_send(sample);
     }
@@ -56,25 +56,28 @@
     }
 }
 
-/// Has answers rated for as long as the box runs.
-pub fn rate(node: &Node) {
+/// Has queued answers rated until the box stops.
+pub fn run(node: &Node) {
     let Some(rater) = node.rater.clone() else {
         return;
     };
     while !node.is_stopped() {
-        let Ok(sample) = node.ratings.receiver.recv_timeout(POLL) else {
+        let Ok(sample) = node.ratings.receiver.recv_timeout(POLL_INTERVAL) else {
             continue;
         };
-        wait_turn(node);
-        // A rating that fails is a rating less; nothing waits for it.
+        wait_for_rate_limit(node);
+        // A sample whose rating fails is dropped: nothing depends on a single rating.
         let Ok(score) = rater.rate(&sample.prompt, &sample.answer) else {
             continue;
         };
         node.metrics.ratings.add(1, &[]);
         let epoch_ms = Clock::epoch_ms();
-        let changed = node
-            .learning
-            .rated(&sample.observation, score, sample.expected, epoch_ms);
+        let changed = node.learning.rated(
+            &sample.observation,
+            score,
+            sample.expected_quality,
+            epoch_ms,
+        );
         if changed {
             node.metrics.verdict_changes.add(1, &[]);
             log::warn!("ratings changed the verdict on {}", sample.observation.at);
@@ -82,14 +85,19 @@
     }
 }
 
-/// Keeps this box's share of the fleet's rate.
-fn wait_turn(node: &Node) {
+/// Waits until this box may request its next rating. Each serving box uses an equal share of the
+/// rate limit of the fleet.
+fn wait_for_rate_limit(node: &Node) {
     let fleet_rate = u64::from(node.settings.limits.ratings_per_s.max(1));
     let interval_ms = 1_000 * u64::from(node.live_boxes()) / fleet_rate;
     let now_ms = node.clock.now_ms();
-    let due_ms = node.ratings.next_ms.load(Ordering::Relaxed).max(now_ms);
+    let due_ms = node
+        .ratings
+        .next_rating_ms
+        .load(Ordering::Relaxed)
+        .max(now_ms);
     node.pause(Duration::from_millis(due_ms - now_ms));
     node.ratings
-        .next_ms
+        .next_rating_ms
         .store(due_ms + interval_ms, Ordering::Relaxed);
 }
--- a/crates/ivyweird/src/replica.rs
+++ b/crates/ivyweird/src/replica.rs
@@ -81,10 +81,10 @@
 
 /// A serving box, of another hall if there is one, the same for this box as long as it lives.
 pub(crate) fn choose_replica(node: &Node, except: Option<&str>) -> Option<Member> {
-    let serving = node.serving();
+    let serving = node.serving_members();
     let others: Vec<&Member> = serving
         .iter()
-        .filter(|m| m.name != node.me.box_name && Some(m.name.as_ref()) != except)
+        .filter(|m| m.name != node.incarnation.box_name && Some(m.name.as_ref()) != except)
         .collect();
     let outside: Vec<&Member> = others
         .iter()
@@ -93,7 +93,7 @@
         .collect();
     let among = if outside.is_empty() { others } else { outside };
     let names = among.iter().map(|m| m.name.as_ref());
-    let key = format!("replica/{}", node.me.box_name);
+    let key = format!("replica/{}", node.incarnation.box_name);
     let first = hash::rendezvous_top(&key, names.collect::<Vec<&str>>(), 1)
         .first()
         .copied()?;
@@ -127,7 +127,7 @@
             );
         };
         let last = *last;
-        let request = hold_request(&node.me, &lacking);
+        let request = hold_request(&node.incarnation, &lacking);
         lock(&node.ledger.holders).insert(at.peer_addr.clone());
         if !node.peers.hold(&at.peer_addr, request).unwrap_or(false) {
             return None;
--- a/crates/ivyweird/src/run.rs
+++ b/crates/ivyweird/src/run.rs
@@ -12,7 +12,7 @@
 use crate::context::Context;
 use crate::gate::{Ask, Held};
 use crate::learn::Observation;
-use crate::rate::Sample;
+use crate::rating::Sample;
 
 /// Tries per call to a version.
 pub const MAX_TRIES: usize = 3;
@@ -122,7 +122,7 @@
         Some(Fault::Mismatched) => "mismatched",
         Some(Fault::TimedOut) => "timed_out",
     };
-    node.metrics.upstream_call(&version, outcome);
+    node.metrics.count_upstream_call(&version, outcome);
     let speaks = !matches!(
         fault,
         Some(Fault::Unreachable | Fault::Busy | Fault::Rejected)
@@ -203,7 +203,7 @@
 
 /// The request for one call; its id is new for each, so that answers cannot be mixed up.
 pub fn completion(context: &Context<'_>, request: &ChatRequest, at: &VersionRef) -> Completion {
-    let id = context.node.unique();
+    let id = context.node.unique_name();
     let mut body = request.body.clone();
     // Engines serve a lower value earlier.
     body.insert("priority".into(), (9 - context.marks.priority).into());
@@ -252,6 +252,6 @@
         prompt: prompt.to_owned(),
         answer: answered.answer.text.clone(),
         observation: answered.observation.clone(),
-        expected: version.map_or(1.0, |v| v.prior_quality),
+        expected_quality: version.map_or(1.0, |v| v.prior_quality),
     });
 }
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -106,7 +106,7 @@
         let called = node.service.call(&held.upstream.addr, call, timeout);
         held.finish(called.is_ok(), None, context.moment());
         node.metrics
-            .upstream_call(pool, if called.is_ok() { "ok" } else { "failed" });
+            .count_upstream_call(pool, if called.is_ok() { "ok" } else { "failed" });
         match called {
             Ok(reply) => return Ok(reply),
             Err(error) if may_try_again(context, call, &error, &tried) => {}
@@ -191,5 +191,5 @@
         body: reply.body,
     }
     .with("X-Ivyweir-Request-Key", context.key.as_ref())
-    .with("X-Ivyweir-Box", context.node.me.box_name.as_ref())
+    .with("X-Ivyweir-Box", context.node.incarnation.box_name.as_ref())
 }
--- a/crates/ivyweird/src/session.rs
+++ b/crates/ivyweird/src/session.rs
@@ -1,4 +1,4 @@
-//! Opening sessions.
+//! Creation of sessions.
 
 use ivyweir_caller::Reply;
 use ivyweir_policy::token::Session;
@@ -9,11 +9,11 @@
 use crate::context::Context;
 use crate::route;
 
-/// Opens a session: it gets one version of each model that its workspace may use.
+/// Opens a session that is pinned to one version of each model that the workspace may use.
 ///
 /// # Errors
 ///
-/// A refusal when there is none.
+/// If no session key exists yet, or the workspace may use no model.
 pub fn open(context: &Context<'_>) -> Result<Reply, Refusal> {
     let node = context.node;
     let config = &context.current.config;
@@ -21,12 +21,12 @@
         .session_keys
         .last()
         .ok_or_else(|| Refusal::not_run(Code::StaleConfig, "there is no session key yet"))?;
-    let nonce = node.unique();
+    let nonce = node.unique_name();
     let versions: Vec<VersionRef> = config
         .models
         .keys()
         .filter_map(|model| route::pick_version(context, config, &context.workspace, model, &nonce))
-        .filter(|at| config.permits(&context.workspace, at))
+        .filter(|version| config.permits(&context.workspace, version))
         .collect();
     if versions.is_empty() {
         return Err(Refusal::not_run(
@@ -40,8 +40,8 @@
         workspace: context.workspace.clone(),
         nonce,
         versions,
-        box_name: node.me.box_name.clone(),
-        incarnation: node.me.number,
+        box_name: node.incarnation.box_name.clone(),
+        incarnation: node.incarnation.number,
         expires_ms,
     };
     let body = json!({
--- a/crates/ivyweird/src/shards.rs
+++ b/crates/ivyweird/src/shards.rs
@@ -1,38 +1,45 @@
-//! State in shards, each under its own lock.
+//! Sharded state, with one lock per shard.
 
 use std::sync::{Mutex, MutexGuard};
 
 use ivyweir_policy::hash::hash64;
 
-const COUNT: usize = 16;
+const SHARD_COUNT: usize = 16;
 
-/// A value per shard; a key always meets the same one.
+/// One value per shard. A key always maps to the same shard.
 #[derive(Debug)]
 pub struct Shards<T> {
     shards: Vec<Mutex<T>>,
 }
 
 impl<T> Shards<T> {
-    /// Shards that each start with a value of their own.
-    pub fn new(make: impl Fn() -> T) -> Self {
+    /// Creates the shards, each with a value returned by `init`.
+    pub fn new(init: impl Fn() -> T) -> Self {
         Self {
-            shards: (0..COUNT).map(|_| Mutex::new(make())).collect(),
+            shards: (0..SHARD_COUNT).map(|_| Mutex::new(init())).collect(),
         }
     }
 
-    /// The shard of a key.
-    pub fn of(&self, key: &str) -> MutexGuard<'_, T> {
-        let at = hash64(&[key.as_bytes()]) as usize % COUNT;
-        lock(&self.shards[at])
+    /// Locks the shard of a key.
+    pub fn lock_for(&self, key: &str) -> MutexGuard<'_, T> {
+        let index = hash64(&[key.as_bytes()]) as usize % SHARD_COUNT;
+        lock(&self.shards[index])
     }
 
-    /// All shards, one after the other.
+    /// Iterates over all shards, locking one at a time.
     pub fn iter(&self) -> impl Iterator<Item = MutexGuard<'_, T>> {
         self.shards.iter().map(lock)
     }
 }
 
-/// Locks; a thread that panicked with the lock broke an invariant, which stops this one too.
+/// Locks a mutex.
+///
+/// # Panics
+///
+/// If a thread panicked while it held the lock. An invariant is then broken, so this thread must not
+/// continue.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no thread panicked with the lock")
+    mutex
+        .lock()
+        .expect("no thread panics while it holds the lock")
 }
--- a/crates/ivyweird/src/spread.rs
+++ b/crates/ivyweird/src/spread.rs
@@ -29,7 +29,7 @@
 
 /// Whether this box is one of its hall's watchers.
 fn is_watcher(node: &Node) -> bool {
-    let serving = node.serving();
+    let serving = node.serving_members();
     let in_hall: Vec<&str> = serving
         .iter()
         .filter(|m| m.hall == node.settings.hall)
@@ -37,7 +37,7 @@
         .collect();
     let key = format!("watch/{}", node.settings.hall);
     let top = hash::rendezvous_top(&key, in_hall, WATCHERS_PER_HALL);
-    node.config.generation() == 0 || top.contains(&node.me.box_name.as_ref())
+    node.config.generation() == 0 || top.contains(&node.incarnation.box_name.as_ref())
 }
 
 /// Watches the configuration for as long as this box is a watcher of its hall.
@@ -50,7 +50,7 @@
             continue;
         }
         let asked_ms = node.clock.now_ms();
-        node.metrics.store_call("watch");
+        node.metrics.count_store_call("watch");
         match node.store.watch(CONFIG_OBJECT, seen_revision, WATCH_MS) {
             Ok(Watched::Unchanged) => node.config.prove(seen_generation, Some(asked_ms)),
             Ok(Watched::Absent) => create_first(node),
@@ -77,7 +77,7 @@
 /// Writes the configuration in force over an older one: the store was set back.
 fn repair_store(node: &Node, revision: u64) {
     let current = node.current();
-    node.metrics.store_call("config_repair");
+    node.metrics.count_store_call("config_repair");
     let put = node
         .store
         .put(CONFIG_OBJECT, &current.body, Expect::Revision(revision));
@@ -93,7 +93,7 @@
 fn create_first(node: &Node) {
     let current = node.current();
     if current.config.generation > 0 {
-        node.metrics.store_call("config_repair");
+        node.metrics.count_store_call("config_repair");
         // Whether it was written shows at the next watch.
         let _shown_later = node.store.put(CONFIG_OBJECT, &current.body, Expect::Absent);
         return;
@@ -112,7 +112,7 @@
     };
     first.operators.insert("root".into(), operator);
     first.session_keys.push(new_session_key());
-    node.metrics.store_call("config_create");
+    node.metrics.count_store_call("config_create");
     // Whether it was written, and by whom, shows at the next watch.
     let _shown_later = node
         .store
@@ -159,10 +159,10 @@
 }
 
 fn push_in_hall(node: &Node, document: &pb::Document, lacks: impl Fn(u64) -> bool) {
-    let serving = node.serving();
+    let serving = node.serving_members();
     let lacking = serving
         .iter()
-        .filter(|m| m.name != node.me.box_name && m.hall == node.settings.hall)
+        .filter(|m| m.name != node.incarnation.box_name && m.hall == node.settings.hall)
         .filter(|m| lacks(m.generation));
     for member in lacking {
         // Who misses it hears of it by digest.
@@ -192,8 +192,8 @@
             node.pause(IDLE);
             continue;
         }
-        node.metrics.store_call("box_list");
-        match node.boxes.boxes() {
+        node.metrics.count_store_call("box_list");
+        match node.box_source.boxes() {
             Ok(body) => {
                 take_box_list(node, &body);
                 node.pause(LIST_INTERVAL);
@@ -217,7 +217,7 @@
     let leaves = list
         .boxes
         .iter()
-        .any(|b| b.name == node.me.box_name && b.state == BoxState::Leaving);
+        .any(|b| b.name == node.incarnation.box_name && b.state == BoxState::Leaving);
     if leaves && node.drain() {
         log::info!("the box list says that this box leaves");
     }
@@ -232,7 +232,7 @@
         wants_sets: false,
     };
     while !node.is_stopped() {
-        let timing = node.timing();
+        let timing = node.gossip_timing();
         let addrs = node.with_members(|table, timing, now_ms| {
             table.increment_heartbeat();
             table.remove_expired(timing, now_ms);
@@ -250,7 +250,7 @@
                 .collect();
         }
         tell = exchange(node, &addrs, tell);
-        node.count_live_boxes();
+        node.update_live_boxes();
         node.pause(Duration::from_millis(timing.period_ms));
     }
 }
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -220,7 +220,10 @@
         let headers = [
             Header::new("X-Ivyweir-Version", self.at.to_string()),
             Header::new("X-Ivyweir-Request-Key", self.context.key.as_ref()),
-            Header::new("X-Ivyweir-Box", self.context.node.me.box_name.as_ref()),
+            Header::new(
+                "X-Ivyweir-Box",
+                self.context.node.incarnation.box_name.as_ref(),
+            ),
         ];
         self.events = Some(incoming.into_events(&headers)?);
         Ok(())
