--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -122,7 +122,7 @@
 fn loads(node: &Node, now_ms: u64, turn: usize) -> Vec<pb::Load> {
     let news_ms = NEWS_ROUNDS * node.gossip_timing().period_ms;
     let max_age_ms = 4 * loads::interval(node).as_millis() as u64 + news_ms;
-    node.gate.read_upstreams(|u| {
+    node.dispatcher.read_upstreams(|u| {
         let report = &u.report;
         let age_ms = now_ms.saturating_sub(report.at_ms);
         let is_news = now_ms.saturating_sub(u.report_changed_ms()) <= news_ms;
@@ -177,7 +177,7 @@
         now_ms,
         live_boxes: node.live_boxes(),
     };
-    node.gate.report(reports, moment);
+    node.dispatcher.report(reports, moment);
     unknown
 }
 
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -100,7 +100,7 @@
     if withdrawn.is_empty() {
         return;
     }
-    for upstream in node.gate.upstreams() {
+    for upstream in node.dispatcher.upstreams() {
         if !config
             .pools
             .get(&upstream.pool)
--- a/crates/ivyweird/src/forward.rs
+++ b/crates/ivyweird/src/forward.rs
@@ -26,7 +26,7 @@
     let opener = context.opener();
     let entry = Journal::entry_name(&context.workspace, &context.key);
     let mine = opener == node.opener();
-    let permit = node.once.begin(&opener, &entry);
+    let permit = node.idempotency.begin(&opener, &entry);
     match permit {
         Permit::Run => run_and_keep(context, &entry, run),
         Permit::Kept(reply) => Ok(reply),
@@ -45,7 +45,7 @@
     entry: &ivyweir_policy::Name,
     run: impl FnOnce() -> Result<Reply, Refusal>,
 ) -> Result<Reply, Refusal> {
-    let once = &context.node.once;
+    let once = &context.node.idempotency;
     let outcome = run();
     match &outcome {
         Ok(reply) => once.finish(entry, reply),
--- a/crates/ivyweird/src/loads.rs
+++ b/crates/ivyweird/src/loads.rs
@@ -52,7 +52,7 @@
     while !node.is_stopped() {
         let serving = node.serving_members();
         let hashes: Vec<u64> = serving.iter().map(|m| hash_name(&m.name)).collect();
-        let targets = node.gate.read_upstreams(|upstream| {
+        let targets = node.dispatcher.read_upstreams(|upstream| {
             let mine = upstream.state == BoxState::Live && is_mine(me, &hashes, upstream);
             mine.then(|| Target {
                 id: upstream.id(),
@@ -72,7 +72,7 @@
 
 /// Time between two reports of one upstream, for as many upstreams as there are.
 pub fn interval(node: &Node) -> Duration {
-    let upstreams = node.gate.read_upstreams(|_| Some(())).len() as u32;
+    let upstreams = node.dispatcher.read_upstreams(|_| Some(())).len() as u32;
     (INTERVAL_PER_UPSTREAM * upstreams).max(MIN_INTERVAL)
 }
 
@@ -110,6 +110,6 @@
             now_ms: node.clock.now_ms(),
             live_boxes: node.live_boxes(),
         };
-        node.gate.report([(target.id, report)], moment);
+        node.dispatcher.report([(target.id, report)], moment);
     }
 }
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -60,15 +60,15 @@
     /// Client for peers.
     pub peers: Client,
     /// Upstreams and the queues of requests that wait for them.
-    pub gate: Gate,
+    pub dispatcher: Gate,
     /// Quality estimates and verdicts, by version.
     pub learning: Learning,
     /// Answers that wait to be rated.
-    pub ratings: RatingQueue,
+    pub rating_queue: RatingQueue,
     /// Billing records that are not in the store yet.
     pub ledger: Ledger,
     /// State of the requests that run at most once.
-    pub once: Once,
+    pub idempotency: Once,
     members: Mutex<MemberTable>,
     live_boxes: AtomicU32,
     in_progress: AtomicUsize,
@@ -128,11 +128,11 @@
             service: Arc::new(HttpService),
             rater,
             peers: Client::new(settings.fleet_key())?,
-            gate: Gate::new(&settings),
+            dispatcher: Gate::new(&settings),
             learning: Learning::new(&incarnation),
-            ratings: RatingQueue::new(),
+            rating_queue: RatingQueue::new(),
             ledger: Ledger::new(settings.limits.max_billing_bytes),
-            once: Once::new(&incarnation),
+            idempotency: Once::new(&incarnation),
             members: Mutex::new(members),
             live_boxes: AtomicU32::new(1),
             in_progress: AtomicUsize::new(0),
@@ -263,7 +263,7 @@
             return true;
         }
         let live = self
-            .gate
+            .dispatcher
             .read_upstreams(|u| (u.state == BoxState::Live).then_some(u.report.at_ms));
         let reported = live.iter().filter(|at_ms| **at_ms > 0).count();
         let has_list = self.box_list.get().generation > 0;
--- a/crates/ivyweird/src/once.rs
+++ b/crates/ivyweird/src/once.rs
@@ -248,7 +248,7 @@
 /// Writes a claim into its shard's journal by conditional update.
 pub fn write_claim(node: &Node, request: &pb::ClaimRequest) -> Claimed {
     let shard = claim::shard(&request.workspace, &request.key);
-    let _one_at_a_time = lock(&node.once.writers[shard as usize]);
+    let _one_at_a_time = lock(&node.idempotency.writers[shard as usize]);
     let object = format!("claims/{shard:04}");
     let give_up_ms = node.clock.now_ms() + CLAIM_MS;
     for _ in 0..CLAIM_ROUNDS {
@@ -318,6 +318,6 @@
 impl Node {
     /// This box's incarnation, as the opener of its sessions.
     pub fn opener(&self) -> Incarnation {
-        self.once.me.clone()
+        self.idempotency.me.clone()
     }
 }
--- a/crates/ivyweird/src/operator_api.rs
+++ b/crates/ivyweird/src/operator_api.rs
@@ -243,7 +243,7 @@
 fn upstreams(node: &Node) -> Vec<UpstreamStatus> {
     let now_ms = node.clock.now_ms();
     let mut upstreams: Vec<UpstreamStatus> = node
-        .gate
+        .dispatcher
         .upstreams()
         .into_iter()
         .map(|u| {
--- a/crates/ivyweird/src/peer_api.rs
+++ b/crates/ivyweird/src/peer_api.rs
@@ -52,7 +52,7 @@
 
     fn outcome(&self, request: pb::OutcomeRequest) -> pb::OutcomeReply {
         let key = Journal::entry_name(&request.workspace, &request.key);
-        self.node.once.outcome(&key)
+        self.node.idempotency.outcome(&key)
     }
 
     fn forward(&self, request: pb::ForwardRequest) -> Option<pb::ForwardReply> {
@@ -65,7 +65,7 @@
             number: request.incarnation,
         };
         let used_keys = request.keys.iter().map(|k| k.as_str().into()).collect();
-        let adopted = !self.node.is_draining() && self.node.once.adopt(&from, used_keys);
+        let adopted = !self.node.is_draining() && self.node.idempotency.adopt(&from, used_keys);
         if adopted {
             log::info!("took over the sessions of {}", from.box_name);
         }
--- a/crates/ivyweird/src/rating.rs
+++ b/crates/ivyweird/src/rating.rs
@@ -62,7 +62,7 @@
         return;
     };
     while !node.is_stopped() {
-        let Ok(sample) = node.ratings.receiver.recv_timeout(POLL_INTERVAL) else {
+        let Ok(sample) = node.rating_queue.receiver.recv_timeout(POLL_INTERVAL) else {
             continue;
         };
         wait_for_rate_limit(node);
@@ -92,12 +92,12 @@
     let interval_ms = 1_000 * u64::from(node.live_boxes()) / fleet_rate;
     let now_ms = node.clock.now_ms();
     let due_ms = node
-        .ratings
+        .rating_queue
         .next_rating_ms
         .load(Ordering::Relaxed)
         .max(now_ms);
     node.pause(Duration::from_millis(due_ms - now_ms));
-    node.ratings
+    node.rating_queue
         .next_rating_ms
         .store(due_ms + interval_ms, Ordering::Relaxed);
 }
--- a/crates/ivyweird/src/run.rs
+++ b/crates/ivyweird/src/run.rs
@@ -64,7 +64,7 @@
 ) -> Result<Held<'c>, Refusal> {
     let node = context.node;
     let ask = ask(context, at, prefix, tries);
-    let acquired = node.gate.acquire(ask, context.moment());
+    let acquired = node.dispatcher.acquire(ask, context.moment());
     let held = acquired.map_err(|refusal| context.refuse(refusal))?;
     let checked = context
         .check_permitted(at)
@@ -74,7 +74,7 @@
         return Err(refusal);
     }
     if tries.tried.is_empty() {
-        node.gate.count_try();
+        node.dispatcher.count_try();
     }
     tries.tried.push(held.upstream.name.clone());
     Ok(held)
@@ -90,7 +90,7 @@
         && error.is_retryable()
         && tries.tried.len() < MAX_TRIES
         && context.left_ms() > 0
-        && context.node.gate.may_retry();
+        && context.node.dispatcher.may_retry();
     if allowed {
         context.node.metrics.retries.add(1, &[]);
     }
@@ -248,7 +248,7 @@
 /// Has some answers rated.
 pub fn sample(context: &Context<'_>, prompt: &str, answered: &Answered) {
     let version = context.current.config.version(&answered.at);
-    context.node.ratings.offer(Sample {
+    context.node.rating_queue.offer(Sample {
         prompt: prompt.to_owned(),
         answer: answered.answer.text.clone(),
         observation: answered.observation.clone(),
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -90,7 +90,7 @@
     let mut tried: Vec<Name> = Vec::new();
     loop {
         let acquired = node
-            .gate
+            .dispatcher
             .acquire(ask(context, pool, &tried), context.moment());
         let held = acquired.map_err(|refusal| context.refuse(refusal))?;
         let checked = check_allowed(context, pool).and_then(|()| context.before_send());
@@ -99,7 +99,7 @@
             return Err(refusal);
         }
         if tried.is_empty() {
-            node.gate.count_try();
+            node.dispatcher.count_try();
         }
         tried.push(held.upstream.name.clone());
         let timeout = Duration::from_millis(context.left_ms().max(1));
@@ -149,7 +149,7 @@
     let allowed = (repeatable || !error.may_have_run)
         && tried.len() < run::MAX_TRIES
         && context.left_ms() > 0
-        && context.node.gate.may_retry();
+        && context.node.dispatcher.may_retry();
     if allowed {
         context.node.metrics.retries.add(1, &[]);
     }
--- a/crates/ivyweird/src/shutdown.rs
+++ b/crates/ivyweird/src/shutdown.rs
@@ -26,7 +26,7 @@
 /// Hands the sessions over to one successor. The first successor chosen is never replaced, even if it
 /// does not answer: another one might repeat a request that the first one has already run.
 fn hand_over(node: &Node) {
-    let (successor, used_keys) = node.once.freeze(choose_successor(node));
+    let (successor, used_keys) = node.idempotency.freeze(choose_successor(node));
     let Some(successor) = successor else {
         return;
     };
--- a/crates/ivyweird/src/spread.rs
+++ b/crates/ivyweird/src/spread.rs
@@ -213,7 +213,7 @@
         now_ms: node.clock.now_ms(),
         live_boxes: node.live_boxes(),
     };
-    node.gate.apply_list(&list, moment);
+    node.dispatcher.apply_list(&list, moment);
     let leaves = list
         .boxes
         .iter()
