--- a/crates/ivyweird/src/caller_api.rs
+++ b/crates/ivyweird/src/caller_api.rs
@@ -45,7 +45,7 @@
             return;
         }
         let outcome = self.answer(incoming);
-        self.node.metrics.request(outcome);
+        self.node.metrics.count_request(outcome);
     }
 }
 
@@ -55,7 +55,7 @@
             ("GET", "/healthz") => Some(Reply::text(200, "ok\n")),
             ("GET", "/readyz") if self.node.is_ready() => Some(Reply::text(200, "ready\n")),
             ("GET", "/readyz") => Some(Reply::text(503, "not ready\n")),
-            ("GET", "/metrics") => Some(Reply::text(200, self.node.metrics.text())),
+            ("GET", "/metrics") => Some(Reply::text(200, self.node.metrics.encode_text())),
             _ => None,
         }
     }
@@ -63,7 +63,7 @@
     /// Answers a request. Returns the outcome label for the request metric.
     fn answer(&self, incoming: Incoming) -> &'static str {
         let node = &self.node;
-        let in_progress = match node.enter() {
+        let in_progress = match node.admit() {
             Ok(in_progress) => in_progress,
             Err(refusal) => return refuse(incoming, &refusal),
         };
--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -73,5 +73,5 @@
     Reply::json(200, body)
         .with("X-Ivyweir-Version", completed.version.to_string())
         .with("X-Ivyweir-Request-Key", context.key.as_ref())
-        .with("X-Ivyweir-Box", context.node.me.box_name.as_ref())
+        .with("X-Ivyweir-Box", context.node.incarnation.box_name.as_ref())
 }
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -66,7 +66,7 @@
             return Err(Refusal::not_run(Code::KeyRequired, text));
         }
         let request_key = options.request_key.as_deref().map(Name::from);
-        let key = request_key.unwrap_or_else(|| node.unique());
+        let key = request_key.unwrap_or_else(|| node.unique_name());
         let arrived_ms = node.clock.now_ms();
         Ok(Self {
             class: class_name(&workspace, &options.class),
@@ -178,7 +178,7 @@
     }
 
     fn claim(&self) -> Result<(), Refusal> {
-        if self.session.is_some() && self.node.sight() != Freshness::Fresh {
+        if self.session.is_some() && self.node.freshness() != Freshness::Fresh {
             // The store is unavailable; the session's authority ensures at-most-once execution.
             return Ok(());
         }
@@ -186,7 +186,7 @@
             // Stable within the session, so that a repeat claims the same key again, whichever box
             // is the authority.
             Some(session) => format!("s/{}", session.nonce).into(),
-            None => self.node.unique(),
+            None => self.node.unique_name(),
         };
         match once::claim_key(self.node, &self.workspace, &self.key, &nonce) {
             Claimed::Granted => Ok(()),
--- a/crates/ivyweird/src/engine_call.rs
+++ b/crates/ivyweird/src/engine_call.rs
@@ -12,7 +12,7 @@
 use crate::context::Context;
 use crate::dispatcher::{DispatchRequest, Reservation};
 use crate::learn::Observation;
-use crate::rate::Sample;
+use crate::rating::Sample;
 
 /// Maximum number of attempts for one call to a version.
 pub const MAX_ATTEMPTS: usize = 3;
@@ -69,7 +69,7 @@
 ) -> Result<Reservation<'c>, Refusal> {
     let node = context.node;
     let request = dispatch_request(context, version, prefix, attempts);
-    let acquired = node.gate.acquire(request, context.fleet_snapshot());
+    let acquired = node.dispatcher.acquire(request, context.fleet_snapshot());
     let reservation = acquired.map_err(|refusal| context.adjust_refusal(refusal))?;
     let checked = context
         .check_permitted(version)
@@ -79,7 +79,7 @@
         return Err(refusal);
     }
     if attempts.upstreams.is_empty() {
-        node.gate.count_first_attempt();
+        node.dispatcher.count_first_attempt();
     }
     attempts.upstreams.push(reservation.upstream.name.clone());
     Ok(reservation)
@@ -95,7 +95,7 @@
         && error.is_retryable()
         && attempts.upstreams.len() < MAX_ATTEMPTS
         && context.remaining_ms() > 0
-        && context.node.gate.take_retry();
+        && context.node.dispatcher.take_retry();
     if allowed {
         context.node.metrics.retries.add(1, &[]);
     }
@@ -129,7 +129,7 @@
         Some(Fault::Mismatched) => "mismatched",
         Some(Fault::TimedOut) => "timed_out",
     };
-    node.metrics.upstream_call(&version, outcome);
+    node.metrics.count_upstream_call(&version, outcome);
     let is_attributable = !matches!(
         fault,
         Some(Fault::Unreachable | Fault::Busy | Fault::Rejected)
@@ -224,7 +224,7 @@
     request: &ChatRequest,
     version: &VersionRef,
 ) -> Completion {
-    let id = context.node.unique();
+    let id = context.node.unique_name();
     let mut body = request.body.clone();
     // Engines serve lower values first; callers give higher values to more urgent requests.
     body.insert("priority".into(), (9 - context.options.priority).into());
@@ -270,10 +270,10 @@
 /// Offers an answer to the rater, which rates a sample of them.
 pub fn offer_for_rating(context: &Context<'_>, prompt: &str, call: &CompletedCall) {
     let version = context.current.config.version(&call.version);
-    context.node.ratings.offer(Sample {
+    context.node.rating_queue.offer(Sample {
         prompt: prompt.to_owned(),
         answer: call.answer.text.clone(),
         observation: call.observation.clone(),
-        expected: version.map_or(1.0, |v| v.prior_quality),
+        expected_quality: version.map_or(1.0, |v| v.prior_quality),
     });
 }
--- a/crates/ivyweird/src/forward.rs
+++ b/crates/ivyweird/src/forward.rs
@@ -26,7 +26,7 @@
     let opener = context.opener();
     let entry_name = Journal::entry_name(&context.workspace, &context.key);
     let is_local = opener == node.opener();
-    let permit = node.once.begin(&opener, &entry_name);
+    let permit = node.idempotency.begin(&opener, &entry_name);
     match permit {
         Permit::Run => run_and_store(context, &entry_name, run),
         Permit::Kept(reply) => Ok(reply),
@@ -45,7 +45,7 @@
     entry_name: &ivyweir_policy::Name,
     run: impl FnOnce() -> Result<Reply, Refusal>,
 ) -> Result<Reply, Refusal> {
-    let once = &context.node.once;
+    let once = &context.node.idempotency;
     let outcome = run();
     match &outcome {
         Ok(reply) => once.finish(entry_name, reply),
@@ -67,7 +67,7 @@
         workspace: context.workspace.to_string(),
         key: context.key.to_string(),
     };
-    let members = context.node.serving();
+    let members = context.node.serving_members();
     let holder = context.claim_holder()?;
     let holder = members.iter().find(|m| m.name == holder.box_name)?;
     let reply = context
@@ -111,7 +111,7 @@
     let mut headers: Vec<pb::Header> = parsed.headers.iter().map(to_peer_header).collect();
     headers.push(pb::Header {
         name: FORWARDED_HEADER.into(),
-        value: context.node.me.box_name.to_string(),
+        value: context.node.incarnation.box_name.to_string(),
     });
     let request = pb::ForwardRequest {
         method: parsed.method.clone(),
@@ -137,14 +137,14 @@
 
 /// Answers a request forwarded by a peer. Returns `None` if it is for another incarnation.
 pub fn answer(node: &Node, request: pb::ForwardRequest) -> Option<pb::ForwardReply> {
-    let is_for_this_box =
-        request.for_box == node.me.box_name.as_ref() && request.for_incarnation == node.me.number;
+    let is_for_this_box = request.for_box == node.incarnation.box_name.as_ref()
+        && request.for_incarnation == node.incarnation.number;
     if !is_for_this_box {
         return None;
     }
     // Counted as in progress, so that a planned stop waits for it. It is accepted while the box is
     // stopping, because the box can still return stored answers.
-    let in_progress = node.enter_forwarded();
+    let in_progress = node.admit_forwarded();
     let parsed = ParsedRequest {
         method: request.method,
         path_and_query: request.path,
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -91,7 +91,8 @@
     let node = context.node;
     let mut tried: Vec<Name> = Vec::new();
     loop {
-        let acquired = node.gate.acquire(
+        let acquired = node.dispatcher
+            .acquire(
             dispatch_request(context, pool, &tried),
             context.fleet_snapshot(),
         );
@@ -102,14 +103,14 @@
             return Err(refusal);
         }
         if tried.is_empty() {
-            node.gate.count_first_attempt();
+            node.dispatcher.count_first_attempt();
         }
         tried.push(reservation.upstream.name.clone());
         let timeout = Duration::from_millis(context.remaining_ms().max(1));
         let called = node.service.call(&reservation.upstream.addr, call, timeout);
         reservation.finish(called.is_ok(), None, context.fleet_snapshot());
         node.metrics
-            .upstream_call(pool, if called.is_ok() { "ok" } else { "failed" });
+            .count_upstream_call(pool, if called.is_ok() { "ok" } else { "failed" });
         match called {
             Ok(reply) => return Ok(reply),
             Err(error) if should_retry(context, call, &error, &tried) => {}
@@ -156,7 +157,7 @@
     let allowed = (repeatable || !error.may_have_run)
         && tried.len() < engine_call::MAX_ATTEMPTS
         && context.remaining_ms() > 0
-        && context.node.gate.take_retry();
+        && context.node.dispatcher.take_retry();
     if allowed {
         context.node.metrics.retries.add(1, &[]);
     }
@@ -202,5 +203,5 @@
         body: reply.body,
     }
     .with("X-Ivyweir-Request-Key", context.key.as_ref())
-    .with("X-Ivyweir-Box", context.node.me.box_name.as_ref())
+    .with("X-Ivyweir-Box", context.node.incarnation.box_name.as_ref())
 }
