--- a/crates/ivyweird/src/loads.rs
+++ b/crates/ivyweird/src/loads.rs
@@ -110,6 +110,7 @@
             now_ms: node.clock.now_ms(),
             live_boxes: node.live_boxes(),
         };
-        node.dispatcher.apply_load_reports([(target.id, report)], moment);
+        node.dispatcher
+            .apply_load_reports([(target.id, report)], moment);
     }
 }
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -91,8 +91,7 @@
     let node = context.node;
     let mut tried: Vec<Name> = Vec::new();
     loop {
-        let acquired = node.dispatcher
-            .acquire(
+        let acquired = node.dispatcher.acquire(
             dispatch_request(context, pool, &tried),
             context.fleet_snapshot(),
         );
