--- a/crates/ivyweir-caller/src/chat.rs
+++ b/crates/ivyweir-caller/src/chat.rs
@@ -1,28 +1,28 @@
-//! Chat completion requests and the model list.
+//! Chat completion requests and the response of the model list.
 
 use ivyweir_policy::{Code, Refusal};
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// A chat completion request: the fields that decide about it, and the rest as it came.
+/// A validated chat completion request: the fields used for routing, and the unmodified body.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChatRequest {
-    /// A version, a model, or the alias `auto`.
+    /// The requested version or model, or the alias `auto`.
     pub model: String,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requests a streamed response.
     pub stream: bool,
-    /// Tokens the answer may have, if the caller said.
+    /// Maximum number of completion tokens, if the caller set one.
     pub max_tokens: Option<u64>,
-    /// The whole body.
+    /// The complete request body, including the fields above.
     pub body: Map<String, Value>,
 }
 
 impl ChatRequest {
-    /// Reads a request body.
+    /// Parses and validates a request body.
     ///
     /// # Errors
     ///
-    /// A refusal that names the field and what was expected.
+    /// Returns a refusal with the name of the invalid field and the expected value.
     pub fn from_slice(bytes: &[u8]) -> Result<Self, Refusal> {
         let body: Map<String, Value> = serde_json::from_slice(bytes)
             .map_err(|e| malformed(&format!("body: {e}, expected a JSON object")))?;
@@ -39,7 +39,7 @@
         };
         check_messages(&body)?;
         check_single_choice(&body)?;
-        let max_tokens = read_max_tokens(&body)?;
+        let max_tokens = parse_max_tokens(&body)?;
         Ok(Self {
             model,
             stream,
@@ -48,7 +48,8 @@
         })
     }
 
-    /// The text of all messages, for prefixes and ratings.
+    /// Returns the contents of all messages, separated by line feeds. Prefix affinity and rating
+    /// use it.
     pub fn prompt(&self) -> String {
         let messages = self.body.get("messages").and_then(Value::as_array);
         let contents = messages
@@ -64,7 +65,7 @@
         texts.join("\n")
     }
 
-    /// Whether the caller wants the usage at the end of a stream.
+    /// Returns whether the caller requests the token usage at the end of a stream.
     pub fn wants_usage(&self) -> bool {
         let options = self.body.get("stream_options");
         options.and_then(|o| o.get("include_usage")) == Some(&Value::Bool(true))
@@ -76,11 +77,11 @@
         .get("messages")
         .and_then(Value::as_array)
         .filter(|m| !m.is_empty())
-        .ok_or_else(|| malformed("messages: expected a list with one message or more"))?;
-    for (at, message) in messages.iter().enumerate() {
+        .ok_or_else(|| malformed("messages: expected a non-empty list"))?;
+    for (index, message) in messages.iter().enumerate() {
         if message.get("role").and_then(Value::as_str).is_none() {
             return Err(malformed(&format!(
-                "messages[{at}].role: expected a string"
+                "messages[{index}].role: expected a string"
             )));
         }
     }
@@ -95,18 +96,18 @@
     }
 }
 
-fn read_max_tokens(body: &Map<String, Value>) -> Result<Option<u64>, Refusal> {
-    let given = body
+fn parse_max_tokens(body: &Map<String, Value>) -> Result<Option<u64>, Refusal> {
+    let value = body
         .get("max_completion_tokens")
         .or_else(|| body.get("max_tokens"))
         .filter(|v| !v.is_null());
-    match given {
+    match value {
         None => Ok(None),
-        Some(value) => value
+        Some(max_tokens) => max_tokens
             .as_u64()
             .filter(|&n| n > 0)
             .map(Some)
-            .ok_or_else(|| malformed("max_tokens: expected a whole number over 0")),
+            .ok_or_else(|| malformed("max_tokens: expected a positive integer")),
     }
 }
 
@@ -115,7 +116,7 @@
     Refusal::not_run(Code::Malformed, message)
 }
 
-/// The answer to a model listing.
+/// The response to `GET /v1/models`.
 #[derive(Debug, Clone, Serialize)]
 pub struct ModelList {
     object: &'static str,
@@ -131,7 +132,7 @@
 }
 
 impl ModelList {
-    /// A list of these ids.
+    /// Creates a list with one entry per id.
     pub fn new(ids: impl IntoIterator<Item = String>) -> Self {
         let entry = |id| ModelEntry {
             id,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The JSON bytes.
+    /// Serializes the list as JSON.
     pub fn to_vec(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a model list is always valid JSON")
     }
--- a/crates/ivyweir-caller/src/incoming.rs
+++ b/crates/ivyweir-caller/src/incoming.rs
@@ -1,4 +1,4 @@
-//! A request as it came in, bounded in size and time.
+//! Incoming HTTP requests, with limits on size and read time.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -8,16 +8,16 @@
 use crate::reply::EventWriter;
 use crate::{Header, Reply};
 
-/// Largest body that is read.
+/// Largest accepted request body.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 const MAX_HEADERS: usize = 64;
 const MAX_HEADER_BYTES: usize = 8 << 10;
 const MAX_PATH_BYTES: usize = 4 << 10;
-/// Time in which a body must have come.
-const BODY_TIME: Duration = Duration::from_secs(10);
-const READ_BYTES: usize = 16 << 10;
+/// Time within which the whole body must be received.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// A request whose head has been read.
+/// A request whose head has been parsed and whose body may be unread.
 pub struct Incoming {
     inner: tiny_http::Request,
 }
@@ -27,22 +27,22 @@
         Self { inner }
     }
 
-    /// The method, in upper case.
+    /// Returns the method in upper case.
     pub fn method(&self) -> &str {
         self.inner.method().as_str()
     }
 
-    /// Path and query.
+    /// Returns the request target: the path and the query.
     pub fn path_and_query(&self) -> &str {
         self.inner.url()
     }
 
-    /// The path alone.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.path_and_query().split('?').next().unwrap_or_default()
     }
 
-    /// A header's value; names are compared without regard to case.
+    /// Returns the value of the first header with this name, ignoring ASCII case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.inner
             .headers()
@@ -51,7 +51,7 @@
             .map(|h| h.value.as_str())
     }
 
-    /// All headers.
+    /// Returns all headers in the order received.
     pub fn headers(&self) -> Vec<Header> {
         self.inner
             .headers()
@@ -60,21 +60,23 @@
             .collect()
     }
 
-    /// Checks the head against its limits.
+    /// Checks the number and length of the headers and the length of the path.
     ///
     /// # Errors
     ///
-    /// A refusal that says which limit.
+    /// Returns a refusal with the exceeded limit.
     pub fn check_head(&self) -> Result<(), Refusal> {
         let headers = self.inner.headers();
         let too_long = headers
             .iter()
             .any(|h| h.value.as_str().len() > MAX_HEADER_BYTES);
         if headers.len() > MAX_HEADERS || too_long {
-            return Err(too_large("headers: expected 64 of 8 KiB each at most"));
+            return Err(too_large(
+                "headers: expected at most 64 headers of at most 8 KiB each",
+            ));
         }
         if self.path_and_query().len() > MAX_PATH_BYTES {
-            return Err(too_large("path: expected 4 KiB at most"));
+            return Err(too_large("path: expected at most 4 KiB"));
         }
         Ok(())
     }
@@ -83,49 +85,50 @@
     ///
     /// # Errors
     ///
-    /// A refusal when it is too large, too slow or cut short.
+    /// Returns a refusal if the body is larger than [`MAX_BODY_BYTES`], arrives too slowly or is
+    /// shorter than its `Content-Length`.
     pub fn read_body(&mut self) -> Result<Vec<u8>, Refusal> {
-        let announced = self.inner.body_length();
-        if announced.is_some_and(|n| n > MAX_BODY_BYTES) {
-            return Err(too_large("body: expected 4 MiB at most"));
+        let content_length = self.inner.body_length();
+        if content_length.is_some_and(|n| n > MAX_BODY_BYTES) {
+            return Err(too_large("body: expected at most 4 MiB"));
         }
-        let deadline = Instant::now() + BODY_TIME;
-        let mut body = Vec::with_capacity(announced.unwrap_or(0));
-        let mut piece = [0; READ_BYTES];
+        let deadline = Instant::now() + BODY_READ_TIMEOUT;
+        let mut body = Vec::with_capacity(content_length.unwrap_or(0));
+        let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
             let read = self
                 .inner
                 .as_reader()
-                .read(&mut piece)
-                .map_err(|e| slow(&e))?;
+                .read(&mut buffer)
+                .map_err(|e| body_read_error(&e))?;
             if read == 0 {
                 break;
             }
-            body.extend_from_slice(&piece[..read]);
+            body.extend_from_slice(&buffer[..read]);
             if body.len() > MAX_BODY_BYTES {
-                return Err(too_large("body: expected 4 MiB at most"));
+                return Err(too_large("body: expected at most 4 MiB"));
             }
             if Instant::now() > deadline {
                 return Err(Refusal::not_run(
                     Code::TooSlow,
-                    "body: expected within 10 s",
+                    "body: not received within 10 s",
                 ));
             }
         }
-        if announced.is_some_and(|n| n != body.len()) {
+        if content_length.is_some_and(|n| n != body.len()) {
             return Err(Refusal::not_run(
                 Code::Malformed,
-                "body: shorter than announced",
+                "body: shorter than Content-Length",
             ));
         }
         Ok(body)
     }
 
-    /// Answers with a whole reply.
+    /// Sends a complete response.
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
+    /// Returns an error if the caller has closed the connection.
     pub fn reply(self, reply: Reply) -> io::Result<()> {
         let length = reply.body.len();
         let headers = reply
@@ -146,11 +149,11 @@
         self.inner.respond(response)
     }
 
-    /// Starts a stream of events.
+    /// Starts a response that is a stream of server-sent events.
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
+    /// Returns an error if the caller has closed the connection.
     pub fn into_events(self, headers: &[Header]) -> io::Result<EventWriter> {
         EventWriter::start(self.inner.into_writer(), headers)
     }
@@ -162,12 +165,13 @@
 }
 
 #[cold]
-fn slow(error: &io::Error) -> Refusal {
+fn body_read_error(error: &io::Error) -> Refusal {
     use io::ErrorKind::{TimedOut, WouldBlock};
     match error.kind() {
-        TimedOut | WouldBlock => {
-            Refusal::not_run(Code::TooSlow, "body: the caller stopped sending")
-        }
+        TimedOut | WouldBlock => Refusal::not_run(
+            Code::TooSlow,
+            "body: timed out waiting for data from the caller",
+        ),
         _ => Refusal::not_run(Code::Malformed, format!("body: {error}")),
     }
 }
--- a/crates/ivyweir-caller/src/lib.rs
+++ b/crates/ivyweir-caller/src/lib.rs
@@ -1,28 +1,30 @@
-//! The HTTP API towards callers: reading requests, writing answers, streams and errors.
+//! HTTP server and message types of the caller API: request parsing, responses, event streams and
+//! error bodies.
 //!
-//! What a request means is decided elsewhere; this package bounds what comes in and gives answers
-//! the form that clients of the chat completions API expect.
+//! This crate limits the size and read time of requests, and writes responses in the format that
+//! clients of the chat completions API expect. Routing and execution are left to the [`Handler`].
 //!
 //! ```
-//! use ivyweir_caller::{ChatRequest, Marks};
+//! use ivyweir_caller::{ChatRequest, RequestMetadata};
 //!
 //! let body = br#"{"model":"auto","messages":[{"role":"user","content":"hello"}]}"#;
 //! let request = ChatRequest::from_slice(body).unwrap();
 //! assert_eq!(request.model, "auto");
 //! assert!(!request.stream);
 //!
-//! let marks = Marks::from_headers(|name| (name == "X-Ivyweir-Priority").then_some("7")).unwrap();
-//! assert_eq!(marks.priority, 7);
+//! let metadata =
+//!     RequestMetadata::from_headers(|name| (name == "X-Ivyweir-Priority").then_some("7")).unwrap();
+//! assert_eq!(metadata.priority, 7);
 //! ```
 
 mod chat;
 mod incoming;
-mod marks;
+mod metadata;
 mod reply;
-mod serve;
+mod server;
 
 pub use chat::{ChatRequest, ModelList};
 pub use incoming::{Incoming, MAX_BODY_BYTES};
-pub use marks::Marks;
+pub use metadata::RequestMetadata;
 pub use reply::{EventWriter, Header, Reply, error_body};
-pub use serve::{Handler, Server};
+pub use server::{Handler, Server};
--- a/crates/ivyweir-caller/src/reply.rs
+++ b/crates/ivyweir-caller/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers: whole ones, streams of events, and error bodies.
+//! Responses: complete replies, streams of server-sent events, and error bodies.
 
 use std::io::{self, Write};
 
@@ -6,28 +6,28 @@
 use ivyweir_policy::{Execution, Refusal};
 use serde_json::json;
 
-/// One header line.
+/// An HTTP header field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// The name.
+    /// Field name.
     pub name: String,
-    /// The value.
+    /// Field value.
     pub value: String,
 }
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers besides length and connection.
+    /// Header fields, without those for length and connection, which the server adds.
     pub headers: Vec<Header>,
-    /// The body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
 impl Header {
-    /// A header line.
+    /// Creates a header field.
     pub fn new(name: impl Into<String>, value: impl Into<String>) -> Self {
         Self {
             name: name.into(),
@@ -37,7 +37,7 @@
 }
 
 impl Reply {
-    /// A JSON answer.
+    /// Creates a reply with a JSON body.
     pub fn json(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A plain text answer.
+    /// Creates a reply with a plain text body, with the content type of Prometheus metrics.
     pub fn text(status: u16, body: impl Into<String>) -> Self {
         Self {
             status,
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Adds a header.
+    /// Appends a header field.
     #[must_use]
-    pub fn with(mut self, name: &str, value: impl Into<String>) -> Self {
+    pub fn with_header(mut self, name: &str, value: impl Into<String>) -> Self {
         self.headers.push(Header::new(name, value));
         self
     }
@@ -69,13 +69,13 @@
         match refusal.retry_after_ms {
             None => reply,
             Some(ms) => reply
-                .with("Retry-After", ms.div_ceil(1_000).to_string())
-                .with("Retry-After-Ms", ms.to_string()),
+                .with_header("Retry-After", ms.div_ceil(1_000).to_string())
+                .with_header("Retry-After-Ms", ms.to_string()),
         }
     }
 }
 
-/// The JSON body of a refusal, in the form of the chat completions API.
+/// Serializes a refusal in the error format of the chat completions API.
 pub fn error_body(refusal: &Refusal) -> String {
     let kind = match refusal.code.http_status() {
         401 => "authentication_error",
@@ -100,18 +100,18 @@
     .to_string()
 }
 
-/// Writes a stream of server-sent events; each leaves at once.
+/// Writes a stream of server-sent events, and flushes after each event.
 pub struct EventWriter {
-    out: Encoder<Box<dyn Write + Send>>,
+    encoder: Encoder<Box<dyn Write + Send>>,
 }
 
 impl EventWriter {
-    /// Writes the head of the answer.
+    /// Writes the status line and the headers of the response.
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
-    pub fn start(mut out: Box<dyn Write + Send>, headers: &[Header]) -> io::Result<Self> {
+    /// Returns an error if the caller has closed the connection.
+    pub fn start(mut writer: Box<dyn Write + Send>, headers: &[Header]) -> io::Result<Self> {
         let mut head = String::from(
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n",
         );
@@ -119,39 +119,41 @@
             head.push_str(&format!("{}: {}\r\n", header.name, header.value));
         }
         head.push_str("Transfer-Encoding: chunked\r\n\r\n");
-        out.write_all(head.as_bytes())?;
-        out.flush()?;
+        writer.write_all(head.as_bytes())?;
+        writer.flush()?;
         Ok(Self {
-            out: Encoder::with_flush_after_write(out),
+            encoder: Encoder::with_flush_after_write(writer),
         })
     }
 
-    /// Writes one event.
+    /// Writes and flushes one event.
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
-    pub fn event(&mut self, data: &str) -> io::Result<()> {
-        self.out.write_all(format!("data: {data}\n\n").as_bytes())?;
-        // The encoder passes its chunks on, but what lies below has a buffer of its own.
-        self.out.get_mut().flush()
+    /// Returns an error if the caller has closed the connection.
+    pub fn write_event(&mut self, data: &str) -> io::Result<()> {
+        self.encoder
+            .write_all(format!("data: {data}\n\n").as_bytes())?;
+        // The encoder writes each chunk through, but the underlying writer has its own buffer.
+        self.encoder.get_mut().flush()
     }
 
-    /// Ends the stream with an error, so that nobody takes it for whole.
+    /// Ends the stream with an error event and without `[DONE]`, so that clients do not take it for
+    /// complete.
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
-    pub fn fail(mut self, refusal: &Refusal) -> io::Result<()> {
-        self.event(&error_body(refusal))
+    /// Returns an error if the caller has closed the connection.
+    pub fn finish_with_error(mut self, refusal: &Refusal) -> io::Result<()> {
+        self.write_event(&error_body(refusal))
     }
 
-    /// Ends a whole stream.
+    /// Ends a complete stream with `[DONE]`.
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
+    /// Returns an error if the caller has closed the connection.
     pub fn finish(mut self) -> io::Result<()> {
-        self.event("[DONE]")
+        self.write_event("[DONE]")
     }
 }
--- a/crates/ivyweir-caller/tests/border.rs
+++ b/crates/ivyweir-caller/tests/border.rs
@@ -1,20 +1,21 @@
-//! What crosses the border to callers: events leave at once, bad input is refused by field.
+//! Tests of the caller API: each event is flushed when it is written, and invalid input is refused
+//! with the name of the field.
 
 use std::io::{BufWriter, Write};
 use std::sync::{Arc, Mutex};
 
-use ivyweir_caller::{ChatRequest, EventWriter, Marks, error_body};
+use ivyweir_caller::{ChatRequest, EventWriter, RequestMetadata, error_body};
 use ivyweir_policy::{Code, Refusal};
 use proptest::prelude::*;
 
 #[derive(Clone, Default)]
-struct Wire(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Wire {
+impl Write for SharedBuffer {
     fn write(&mut self, data: &[u8]) -> std::io::Result<usize> {
         self.0
             .lock()
-            .expect("no panic with the lock")
+            .expect("the lock is not poisoned")
             .extend_from_slice(data);
         Ok(data.len())
     }
@@ -24,45 +25,51 @@
     }
 }
 
-impl Wire {
+impl SharedBuffer {
     fn text(&self) -> String {
-        String::from_utf8(self.0.lock().expect("no panic with the lock").clone()).expect("text")
+        String::from_utf8(self.0.lock().expect("the lock is not poisoned").clone())
+            .expect("the output is UTF-8")
     }
 }
 
 #[test]
 fn each_event_is_on_the_wire_when_the_call_returns() {
-    let wire = Wire::default();
-    let buffered = BufWriter::with_capacity(64 << 10, wire.clone());
-    let mut events = EventWriter::start(Box::new(buffered), &[]).expect("the wire takes it");
-    assert!(wire.text().ends_with("\r\n\r\n"), "the head is out");
+    let output = SharedBuffer::default();
+    let buffered = BufWriter::with_capacity(64 << 10, output.clone());
+    let mut events = EventWriter::start(Box::new(buffered), &[]).expect("the write succeeds");
+    assert!(
+        output.text().ends_with("\r\n\r\n"),
+        "the response head is not flushed"
+    );
     for n in 0..3 {
         events
-            .event(&format!("token {n}"))
-            .expect("the wire takes it");
-        assert!(wire.text().contains(&format!("data: token {n}\n\n")));
+            .write_event(&format!("token {n}"))
+            .expect("the write succeeds");
+        assert!(output.text().contains(&format!("data: token {n}\n\n")));
     }
-    events.finish().expect("the wire takes it");
+    events.finish().expect("the write succeeds");
     assert!(
-        wire.text().ends_with("data: [DONE]\n\n\r\n0\r\n\r\n"),
+        output.text().ends_with("data: [DONE]\n\n\r\n0\r\n\r\n"),
         "{:?}",
-        wire.text()
+        output.text()
     );
 }
 
 #[test]
 fn a_stream_that_fails_has_no_end_mark() {
-    let wire = Wire::default();
-    let events = EventWriter::start(Box::new(wire.clone()), &[]).expect("the wire takes it");
+    let output = SharedBuffer::default();
+    let events = EventWriter::start(Box::new(output.clone()), &[]).expect("the write succeeds");
     let refusal = Refusal::unknown(Code::UpstreamTruncated, "gone");
-    events.fail(&refusal).expect("the wire takes it");
-    assert!(wire.text().contains("upstream_truncated") && !wire.text().contains("[DONE]"));
+    events
+        .finish_with_error(&refusal)
+        .expect("the write succeeds");
+    assert!(output.text().contains("upstream_truncated") && !output.text().contains("[DONE]"));
 }
 
 macro_rules! bodies {
     ($($name:ident: $body:literal => $expected:literal;)*) => {
         $(#[test] fn $name() {
-            let refusal = ChatRequest::from_slice($body.as_bytes()).expect_err("it is malformed");
+            let refusal = ChatRequest::from_slice($body.as_bytes()).expect_err("the body is refused");
             assert_eq!(refusal.code, Code::Malformed);
             assert!(refusal.message.contains($expected), "{}", refusal.message);
             assert!(error_body(&refusal).contains("\"run\":\"not_run\""));
@@ -86,9 +93,9 @@
     ($($name:ident: $header:literal = $value:expr => $valid:literal;)*) => {
         $(#[test] fn $name() {
             let value: String = $value;
-            let marks = Marks::from_headers(|name| (name == $header).then_some(value.as_str()));
-            assert_eq!(marks.is_ok(), $valid, "{marks:?}");
-            if let Err(refusal) = marks {
+            let metadata = RequestMetadata::from_headers(|name| (name == $header).then_some(value.as_str()));
+            assert_eq!(metadata.is_ok(), $valid, "{metadata:?}");
+            if let Err(refusal) = metadata {
                 assert!(refusal.message.contains($header), "{}", refusal.message);
             }
         })*
@@ -120,6 +127,6 @@
 
     #[test]
     fn any_header_is_read_or_refused(value in ".{0,300}") {
-        let _read_or_refused = Marks::from_headers(|_| Some(value.as_str()));
+        let _read_or_refused = RequestMetadata::from_headers(|_| Some(value.as_str()));
     }
 }
--- a/crates/ivyweir-standins/src/engine.rs
+++ b/crates/ivyweir-standins/src/engine.rs
@@ -400,7 +400,7 @@
     }
     let usage = if wants_usage { usage(job) } else { Value::Null };
     let last = chunk(job, json!({}), json!("stop"), &usage);
-    if events.event(&last).is_ok() {
+    if events.write_event(&last).is_ok() {
         let _caller_gone = events.finish();
     }
 }
@@ -411,7 +411,7 @@
             return Err(());
         }
         let event = chunk(job, json!({ "content": word }), Value::Null, &Value::Null);
-        events.event(&event).map_err(drop)?;
+        events.write_event(&event).map_err(drop)?;
     }
     Ok(())
 }
--- a/crates/ivyweir-standins/src/platform.rs
+++ b/crates/ivyweir-standins/src/platform.rs
@@ -276,7 +276,7 @@
         if every > 0 && revision.is_multiple_of(every) {
             return Reply::text(500, "answer lost");
         }
-        Reply::text(200, "").with("ETag", format!("\"{revision}\""))
+        Reply::text(200, "").with_header("ETag", format!("\"{revision}\""))
     }
 
     fn list(&self, prefix: &str, after: &str, limit: usize) -> Reply {
@@ -318,7 +318,7 @@
         headers: vec![],
         body: object.body.clone(),
     }
-    .with("ETag", format!("\"{}\"", object.revision))
+    .with_header("ETag", format!("\"{}\"", object.revision))
 }
 
 struct Front {
--- a/crates/ivyweir-standins/src/service.rs
+++ b/crates/ivyweir-standins/src/service.rs
@@ -114,7 +114,7 @@
             "body": String::from_utf8_lossy(&body),
             "nth": nth,
         });
-        Reply::json(200, answer.to_string().into_bytes()).with("X-Service", "stand-in")
+        Reply::json(200, answer.to_string().into_bytes()).with_header("X-Service", "stand-in")
     }
 }
 
--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -63,7 +63,7 @@
 fn reply(context: &Context<'_>, answered: &Answered) -> Reply {
     let body = serde_json::to_vec(&answered.answer.body).expect("an answer is always valid JSON");
     Reply::json(200, body)
-        .with("X-Ivyweir-Version", answered.at.to_string())
-        .with("X-Ivyweir-Request-Key", context.key.as_ref())
-        .with("X-Ivyweir-Box", context.node.me.box_name.as_ref())
+        .with_header("X-Ivyweir-Version", answered.at.to_string())
+        .with_header("X-Ivyweir-Request-Key", context.key.as_ref())
+        .with_header("X-Ivyweir-Box", context.node.me.box_name.as_ref())
 }
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
 
-use ivyweir_caller::{Header, Marks};
+use ivyweir_caller::{Header, RequestMetadata};
 use ivyweir_policy::claim::Incarnation;
 use ivyweir_policy::freshness::Freshness;
 use ivyweir_policy::token::Session;
@@ -25,7 +25,7 @@
     /// The caller's workspace.
     pub workspace: Name,
     /// What the caller said in headers.
-    pub marks: Marks,
+    pub marks: RequestMetadata,
     /// The session, if there is one.
     pub session: Option<Session>,
     /// The request's key: the caller's, or one that no other request has.
@@ -55,7 +55,7 @@
     ///
     /// A refusal for a bad header, key or session.
     pub fn new(node: &'a Node, headers: &[Header]) -> Result<Self, Refusal> {
-        let marks = Marks::from_headers(|name| header(headers, name))?;
+        let marks = RequestMetadata::from_headers(|name| header(headers, name))?;
         let current = node.current();
         let workspace = authenticate(&current, &marks)?;
         let session = match &marks.session {
@@ -206,7 +206,7 @@
 
 const CLAIM_HINT_MS: u64 = 2_000;
 
-fn authenticate(current: &Current, marks: &Marks) -> Result<Name, Refusal> {
+fn authenticate(current: &Current, marks: &RequestMetadata) -> Result<Name, Refusal> {
     let unauthenticated = |text| Refusal::not_run(Code::Unauthenticated, text);
     let key = marks
         .caller_key
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -190,6 +190,6 @@
         headers: headers.collect(),
         body: reply.body,
     }
-    .with("X-Ivyweir-Request-Key", context.key.as_ref())
-    .with("X-Ivyweir-Box", context.node.me.box_name.as_ref())
+    .with_header("X-Ivyweir-Request-Key", context.key.as_ref())
+    .with_header("X-Ivyweir-Box", context.node.me.box_name.as_ref())
 }
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -197,7 +197,7 @@
         self.begin().map_err(|_| Stop::Caller)?;
         let text = serde_json::to_string(&body).expect("a chunk is always valid JSON");
         let events = self.events.as_mut().expect("the stream has begun");
-        events.event(&text).map_err(|_| Stop::Caller)?;
+        events.write_event(&text).map_err(|_| Stop::Caller)?;
         self.sent.push_str(&chunk.text);
         self.sent_chunks += 1;
         Ok(())
@@ -237,7 +237,7 @@
         let mut events = self.events.take().expect("the stream has begun");
         for last in &self.last_chunks {
             let text = serde_json::to_string(last).expect("a chunk is always valid JSON");
-            if events.event(&text).is_err() {
+            if events.write_event(&text).is_err() {
                 return "caller_gone";
             }
         }
@@ -253,7 +253,7 @@
             let _caller_gone = incoming.reply(Reply::from(refusal));
         } else if let Some(events) = self.events.take() {
             let refusal = Refusal::unknown(refusal.code, refusal.message.clone());
-            let _caller_gone = events.fail(&refusal);
+            let _caller_gone = events.finish_with_error(&refusal);
         }
         refusal.code.as_str()
     }
