--- a/crates/ivyweir-engine/src/error.rs
+++ b/crates/ivyweir-engine/src/error.rs
@@ -1,38 +1,39 @@
-//! Calls that brought no whole answer.
+//! Errors of calls to engines.
 
 use std::fmt;
 
-/// A call that brought no whole answer.
+/// Error of a call without a complete response.
 #[derive(Debug)]
 pub struct CallError {
-    /// What went wrong.
+    /// Category of the error.
     pub fault: Fault,
-    /// Whether the engine may have run the call.
+    /// Whether the engine may have executed the call.
     pub may_have_run: bool,
     detail: String,
 }
 
-/// What went wrong with a call.
+/// Category of a [`CallError`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// No connection; nothing was sent.
+    /// The connection was refused, so nothing was sent.
     Unreachable,
-    /// The engine has no room now.
+    /// The engine is overloaded or unavailable: status 429 or 503.
     Busy,
-    /// The engine refuses the call for good, as a bad request or a withdrawn version.
+    /// The engine refuses the request permanently, such as for a malformed request or a withdrawn
+    /// version: any other 4xx status.
     Rejected,
-    /// The engine failed.
+    /// The engine failed: any other error status, or an error in a stream.
     Failed,
-    /// The connection broke or the answer ended early.
+    /// The connection was lost, or the response is incomplete or malformed.
     Truncated,
-    /// The answer is for another request or of another version.
+    /// The response belongs to another request or another version.
     Mismatched,
-    /// The time was over.
+    /// The call or a read from the connection timed out.
     TimedOut,
 }
 
 impl CallError {
-    /// Makes an error for a call that may have run.
+    /// Creates an error. Whether the call may have been executed follows from `fault`.
     #[cold]
     pub fn new(fault: Fault, detail: impl Into<String>) -> Self {
         let may_have_run = !matches!(fault, Fault::Unreachable | Fault::Busy | Fault::Rejected);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Whether another engine could do better.
+    /// Returns whether a retry at another engine may succeed.
     pub fn is_retryable(&self) -> bool {
         !matches!(self.fault, Fault::Rejected | Fault::TimedOut)
     }
--- a/crates/ivyweir-engine/src/http.rs
+++ b/crates/ivyweir-engine/src/http.rs
@@ -1,4 +1,4 @@
-//! Engines over HTTP: the chat completions API, `/load` and `/orders`.
+//! HTTP client of engines: the chat completions API, `/load` and `/orders`.
 
 use std::io;
 use std::time::Duration;
@@ -6,106 +6,107 @@
 use attohttpc::{Method, ProxySettings, RequestBuilder, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::{Answer, CallError, ChunkStream, Completion, Fault};
+use crate::{CallError, ChunkStream, CompletionRequest, CompletionResponse, Fault};
 
-/// Time to reach an engine; they are a few milliseconds away.
+/// Timeout for connecting to an engine. Round trips to engines take a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time for a load report or an order.
+/// Timeout for load reports and orders.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest silence within a stream.
-const STREAM_SILENCE: Duration = Duration::from_secs(15);
+/// Longest time without data in a stream.
+const STREAM_READ_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What an engine says of its load.
+/// Load and loaded versions reported by an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Calls running.
+    /// Number of running calls.
     pub running: u32,
-    /// Calls waiting.
+    /// Number of queued calls.
     pub waiting: u32,
-    /// Calls that may run at once.
+    /// Maximum number of concurrently running calls.
     pub slots: u32,
-    /// Versions loaded, as `model@version`.
+    /// Loaded versions, as `model@version`.
     pub versions: Vec<String>,
 }
 
-/// An order to an engine.
+/// A control request to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Generation of the configuration it rests on; engines that check refuse a lower one.
+    /// Fencing token: the generation of the configuration that the order is based on. Engines that
+    /// check it refuse orders with a lower one.
     pub fence: u64,
-    /// What to do.
+    /// Requested action.
     pub order: OrderKind,
-    /// The version, as `model@version`.
+    /// Version that the order applies to, as `model@version`.
     pub version: String,
 }
 
-/// What an order asks for.
+/// Action requested by an [`Order`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Take no new work for the version.
+    /// Accept no new calls for the version.
     Withdraw,
 }
 
-/// A model engine.
+/// Client interface to model engines.
 pub trait Engine: Send + Sync {
-    /// Runs a request and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when there is no whole answer within `timeout`.
+    /// Returns an error if there is no complete response within `timeout`.
     fn complete(
         &self,
         addr: &str,
-        request: &Completion,
+        request: &CompletionRequest,
         timeout: Duration,
-    ) -> Result<Answer, CallError>;
+    ) -> Result<CompletionResponse, CallError>;
 
-    /// Starts a stream; it ends in an error if it is not whole within `timeout`.
+    /// Starts a stream. The stream yields an error if it is not complete within `timeout`.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when the engine does not start it.
+    /// Returns an error if the engine does not start the stream.
     fn stream(
         &self,
         addr: &str,
-        request: &Completion,
+        request: &CompletionRequest,
         timeout: Duration,
     ) -> Result<ChunkStream, CallError>;
 
-    /// Asks for the load.
+    /// Fetches the load report.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when there is no report.
-    fn load(&self, addr: &str) -> Result<LoadReport, CallError>;
+    /// Returns an error if the engine returns no valid report within one second.
+    fn fetch_load(&self, addr: &str) -> Result<LoadReport, CallError>;
 
-    /// Gives an order.
+    /// Sends an order.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when the engine does not take it.
-    fn order(&self, addr: &str, order: &Order) -> Result<(), CallError>;
+    /// Returns an error if the engine does not accept the order.
+    fn send_order(&self, addr: &str, order: &Order) -> Result<(), CallError>;
 }
 
-/// Engines reached over HTTP by IP address and port.
+/// HTTP client of engines, which are addressed by IP address and port.
 #[derive(Debug, Clone, Default)]
 pub struct HttpEngine;
 
 impl HttpEngine {
     fn send(
         addr: &str,
-        request: &Completion,
+        request: &CompletionRequest,
         timeout: Duration,
-        silence: Duration,
+        read_timeout: Duration,
     ) -> Result<Response, CallError> {
-        let response = base(Method::POST, addr, "/v1/chat/completions", timeout)
-            .read_timeout(silence)
+        let response = request_builder(Method::POST, addr, "/v1/chat/completions", timeout)
+            .read_timeout(read_timeout)
             .header("X-Request-Id", request.request_id())
             .json(request.body())
             .map_err(|e| CallError::new(Fault::Rejected, e.to_string()))?
             .send()
-            .map_err(|e| failed(&e))?;
+            .map_err(|e| transport_error(&e))?;
         check_status(response)
     }
 }
@@ -114,44 +115,46 @@
     fn complete(
         &self,
         addr: &str,
-        request: &Completion,
+        request: &CompletionRequest,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<CompletionResponse, CallError> {
         let response = Self::send(addr, request, timeout, timeout)?;
-        let bytes = response.bytes().map_err(|e| failed(&e))?;
-        Answer::check(request, &bytes)
+        let bytes = response.bytes().map_err(|e| transport_error(&e))?;
+        CompletionResponse::from_slice(request, &bytes)
     }
 
     fn stream(
         &self,
         addr: &str,
-        request: &Completion,
+        request: &CompletionRequest,
         timeout: Duration,
     ) -> Result<ChunkStream, CallError> {
-        let silence = STREAM_SILENCE.min(timeout);
-        let response = Self::send(addr, request, timeout, silence)?;
+        let read_timeout = STREAM_READ_TIMEOUT.min(timeout);
+        let response = Self::send(addr, request, timeout, read_timeout)?;
         let (_, _, reader) = response.split();
         Ok(ChunkStream::new(Box::new(reader), request.clone()))
     }
 
-    fn load(&self, addr: &str) -> Result<LoadReport, CallError> {
-        let response = base(Method::GET, addr, "/load", CONTROL_TIMEOUT)
+    fn fetch_load(&self, addr: &str) -> Result<LoadReport, CallError> {
+        let response = request_builder(Method::GET, addr, "/load", CONTROL_TIMEOUT)
             .send()
-            .map_err(|e| failed(&e))?;
-        check_status(response)?.json_utf8().map_err(|e| failed(&e))
+            .map_err(|e| transport_error(&e))?;
+        check_status(response)?
+            .json_utf8()
+            .map_err(|e| transport_error(&e))
     }
 
-    fn order(&self, addr: &str, order: &Order) -> Result<(), CallError> {
-        let response = base(Method::POST, addr, "/orders", CONTROL_TIMEOUT)
+    fn send_order(&self, addr: &str, order: &Order) -> Result<(), CallError> {
+        let response = request_builder(Method::POST, addr, "/orders", CONTROL_TIMEOUT)
             .json(order)
             .map_err(|e| CallError::new(Fault::Rejected, e.to_string()))?
             .send()
-            .map_err(|e| failed(&e))?;
+            .map_err(|e| transport_error(&e))?;
         check_status(response).map(drop)
     }
 }
 
-fn base(method: Method, addr: &str, path: &str, timeout: Duration) -> RequestBuilder {
+fn request_builder(method: Method, addr: &str, path: &str, timeout: Duration) -> RequestBuilder {
     RequestBuilder::new(method, format!("http://{addr}{path}"))
         .proxy_settings(ProxySettings::builder().build())
         .follow_redirects(false)
@@ -174,12 +177,12 @@
 }
 
 #[cold]
-fn failed(error: &attohttpc::Error) -> CallError {
+fn transport_error(error: &attohttpc::Error) -> CallError {
     let fault = match error.kind() {
         attohttpc::ErrorKind::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
             Fault::Unreachable
         }
-        attohttpc::ErrorKind::Io(e) => return crate::stream::broken(e),
+        attohttpc::ErrorKind::Io(e) => return crate::stream::io_error(e),
         _ => Fault::Truncated,
     };
     CallError::new(fault, error.to_string())
--- a/crates/ivyweir-engine/src/lib.rs
+++ b/crates/ivyweir-engine/src/lib.rs
@@ -1,27 +1,28 @@
-//! Client of model engines: completions, streams, load reports and fenced orders.
+//! Client of model engines: completions, streams, load reports and orders with fencing tokens.
 //!
-//! An answer counts only when it is whole: for this request, of the version asked for, with a
-//! finish reason. Everything else is a [`CallError`] that says whether the engine may have run it.
+//! A response is accepted only if it is complete: its id must end with the request id, its model must be
+//! the requested version, and it must have a finish reason. Any other outcome is a [`CallError`],
+//! which tells whether the engine may have executed the call.
 //!
 //! ```no_run
 //! use std::time::Duration;
-//! use ivyweir_engine::{Completion, Engine, HttpEngine};
+//! use ivyweir_engine::{CompletionRequest, Engine, HttpEngine};
 //!
 //! let engine = HttpEngine::default();
-//! let request = Completion::new("notes@v1", "req-1", serde_json::Map::new());
-//! let answer = engine.complete("127.0.0.1:8000", &request, Duration::from_secs(30))?;
-//! println!("{} tokens", answer.usage.total_tokens);
+//! let request = CompletionRequest::new("notes@v1", "req-1", serde_json::Map::new());
+//! let response = engine.complete("127.0.0.1:8000", &request, Duration::from_secs(30))?;
+//! println!("{} tokens", response.usage.total_tokens);
 //! # Ok::<(), ivyweir_engine::CallError>(())
 //! ```
 
-mod answer;
 mod error;
 mod http;
 mod request;
+mod response;
 mod stream;
 
-pub use answer::{Answer, Usage};
 pub use error::{CallError, Fault};
 pub use http::{Engine, HttpEngine, LoadReport, Order, OrderKind};
-pub use request::Completion;
+pub use request::CompletionRequest;
+pub use response::{CompletionResponse, Usage};
 pub use stream::{Chunk, ChunkStream};
--- a/crates/ivyweir-engine/src/request.rs
+++ b/crates/ivyweir-engine/src/request.rs
@@ -1,18 +1,19 @@
-//! A completion request as engines read it.
+//! Completion requests in the format that engines accept.
 
 use serde_json::{Map, Value, json};
 
-/// A chat completion for one version.
+/// A chat completion request for one version.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Completion {
+pub struct CompletionRequest {
     version: String,
     request_id: String,
     body: Map<String, Value>,
     caller_wants_logprobs: bool,
 }
 
-impl Completion {
-    /// A request for `version`; `body` is the caller's, with the fields this package does not know.
+impl CompletionRequest {
+    /// Creates a request for `version`. `body` is the body of the caller's request; unknown fields
+    /// are passed on to the engine.
     pub fn new(
         version: impl Into<String>,
         request_id: impl Into<String>,
@@ -30,27 +31,28 @@
         }
     }
 
-    /// Asks for token probabilities, whether the caller did or not.
+    /// Requests token probabilities, regardless of whether the caller did.
     #[must_use]
     pub fn with_logprobs(mut self) -> Self {
         self.body.insert("logprobs".into(), Value::Bool(true));
         self
     }
 
-    /// Asks for a stream with the usage in its last chunk.
+    /// Requests a streamed response with the token usage in its last chunk.
     #[must_use]
-    pub fn streamed(mut self) -> Self {
+    pub fn with_streaming(mut self) -> Self {
         self.body.insert("stream".into(), Value::Bool(true));
         let options = json!({ "include_usage": true });
         self.body.insert("stream_options".into(), options);
         self
     }
 
-    /// Asks to go on behind `sent`, the text that the caller has already.
+    /// Requests a continuation of `sent`, the text that the caller has already received.
     ///
-    /// Engines do that when the last message is the assistant's and is to be continued.
+    /// The text is appended as an assistant message, which the engine is told to continue. An empty
+    /// text leaves the request unchanged.
     #[must_use]
-    pub fn continuing(mut self, sent: &str) -> Self {
+    pub fn with_partial_response(mut self, sent: &str) -> Self {
         if sent.is_empty() {
             return self;
         }
@@ -65,22 +67,22 @@
         self
     }
 
-    /// The version asked for.
+    /// Returns the requested version.
     pub fn version(&self) -> &str {
         &self.version
     }
 
-    /// The id that the engine must give back.
+    /// Returns the request id, which the id of the response must end with.
     pub fn request_id(&self) -> &str {
         &self.request_id
     }
 
-    /// The JSON body.
+    /// Returns the JSON body.
     pub fn body(&self) -> &Map<String, Value> {
         &self.body
     }
 
-    /// Whether the caller asked for token probabilities.
+    /// Returns whether the caller requested token probabilities.
     pub fn caller_wants_logprobs(&self) -> bool {
         self.caller_wants_logprobs
     }
--- a/crates/ivyweir-engine/src/answer.rs
+++ b/crates/ivyweir-engine/src/response.rs
@@ -1,53 +1,56 @@
-//! Whole answers, and the check that they are.
+//! Complete responses of an engine, and their validation.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-use crate::{CallError, Completion, Fault};
+use crate::{CallError, CompletionRequest, Fault};
 
-/// Tokens that a call read and generated.
+/// Token usage of a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens read.
+    /// Number of tokens in the prompt.
     #[serde(default)]
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     #[serde(default)]
     pub completion_tokens: u64,
-    /// The sum.
+    /// Sum of prompt and completion tokens, as reported by the engine.
     #[serde(default)]
     pub total_tokens: u64,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
-    /// The engine's JSON body, for the caller.
+pub struct CompletionResponse {
+    /// The JSON body that is passed on to the caller.
     pub body: Map<String, Value>,
-    /// The text.
+    /// Text of the generated message.
     pub text: String,
-    /// What it used.
+    /// Token usage of the call.
     pub usage: Usage,
-    /// Mean probability of its tokens, 0 to 1, if the engine said.
+    /// Geometric mean of the token probabilities, from 0 to 1, if the engine returned any.
     pub confidence: Option<f64>,
 }
 
-impl Answer {
-    /// Reads an engine's answer to `request` and checks that it is whole.
+impl CompletionResponse {
+    /// Parses the response to `request` and checks that it is complete and belongs to the request.
+    ///
+    /// Token probabilities are removed from the body if the caller did not ask for them.
     ///
     /// # Errors
     ///
-    /// [`Fault::Truncated`] or [`Fault::Mismatched`].
-    pub fn check(request: &Completion, bytes: &[u8]) -> Result<Self, CallError> {
+    /// Returns [`Fault::Truncated`] if the response is malformed or incomplete, and
+    /// [`Fault::Mismatched`] if its id or model does not match the request.
+    pub fn from_slice(request: &CompletionRequest, bytes: &[u8]) -> Result<Self, CallError> {
         let mut body: Map<String, Value> = serde_json::from_slice(bytes)
-            .map_err(|e| CallError::new(Fault::Truncated, format!("answer: {e}")))?;
+            .map_err(|e| CallError::new(Fault::Truncated, format!("response: {e}")))?;
         check_identity(request, &body)?;
-        let usage = read_usage(&body)
-            .ok_or_else(|| CallError::new(Fault::Truncated, "answer without usage"))?;
+        let usage = parse_usage(&body)
+            .ok_or_else(|| CallError::new(Fault::Truncated, "response has no usage"))?;
         let choice = body
             .get_mut("choices")
             .and_then(|c| c.get_mut(0))
-            .ok_or_else(|| CallError::new(Fault::Truncated, "answer without a choice"))?;
+            .ok_or_else(|| CallError::new(Fault::Truncated, "response has no choices"))?;
         if choice
             .get("finish_reason")
             .and_then(Value::as_str)
@@ -55,7 +58,7 @@
         {
             return Err(CallError::new(
                 Fault::Truncated,
-                "answer without a finish reason",
+                "response has no finish reason",
             ));
         }
         let text = choice.pointer("/message/content").and_then(Value::as_str);
@@ -75,9 +78,9 @@
     }
 }
 
-/// Checks that a body is for this request and of the version asked for.
+/// Checks that the id and model of a response body match the request.
 pub(crate) fn check_identity(
-    request: &Completion,
+    request: &CompletionRequest,
     body: &Map<String, Value>,
 ) -> Result<(), CallError> {
     let id = body.get("id").and_then(Value::as_str).unwrap_or_default();
@@ -89,25 +92,25 @@
         return Ok(());
     }
     let detail = format!(
-        "answer {id:?} of {model:?} to request {:?} for {:?}",
+        "response has id {id:?} and model {model:?}, expected an id ending with {:?} and model {:?}",
         request.request_id(),
         request.version()
     );
     Err(CallError::new(Fault::Mismatched, detail))
 }
 
-pub(crate) fn read_usage(body: &Map<String, Value>) -> Option<Usage> {
+pub(crate) fn parse_usage(body: &Map<String, Value>) -> Option<Usage> {
     let usage = body.get("usage").filter(|u| !u.is_null())?;
     Usage::deserialize(usage).ok()
 }
 
-/// The geometric mean of the token probabilities.
+/// Returns the geometric mean of the token probabilities.
 fn mean_probability(choice: &Value) -> Option<f64> {
     let tokens = choice.pointer("/logprobs/content")?.as_array()?;
-    let logs: Vec<f64> = tokens
+    let logprobs: Vec<f64> = tokens
         .iter()
         .filter_map(|t| t.get("logprob")?.as_f64())
         .collect();
-    let mean = logs.iter().sum::<f64>() / logs.len() as f64;
+    let mean = logprobs.iter().sum::<f64>() / logprobs.len() as f64;
     mean.is_finite().then(|| mean.exp())
 }
--- a/crates/ivyweir-engine/src/stream.rs
+++ b/crates/ivyweir-engine/src/stream.rs
@@ -1,61 +1,67 @@
-//! Streams of an engine: server-sent events, checked one by one.
+//! Streamed responses of an engine: server-sent events, each of which is validated.
 
 use std::io::{BufRead, BufReader, Read};
 
 use serde_json::{Map, Value};
 
-use crate::answer::{check_identity, read_usage};
-use crate::{CallError, Completion, Fault, Usage};
+use crate::response::{check_identity, parse_usage};
+use crate::{CallError, CompletionRequest, Fault, Usage};
 
-/// Longest line that a stream may have.
+/// Maximum length of a line in a stream.
 const MAX_LINE_BYTES: u64 = 1 << 20;
 
-/// One event of a stream.
+/// One event of a streamed response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Chunk {
-    /// The event's JSON, for the caller.
+    /// The JSON data of the event, which is passed on to the caller.
     pub body: Map<String, Value>,
-    /// The text it adds.
+    /// Text that the event adds to the message.
     pub text: String,
-    /// Whether it carries the finish reason.
+    /// Whether the event contains the finish reason.
     pub is_final: bool,
-    /// What the call used; engines say it in the last chunk.
+    /// Token usage of the call, which engines report in the last chunk.
     pub usage: Option<Usage>,
 }
 
-/// A running stream. It ends after a finish reason, the usage and the end mark, or in an error.
+/// Iterator over the events of a streamed response.
+///
+/// A stream is complete if it has a finish reason and ends with `[DONE]`; engines send the token
+/// usage in between. An incomplete stream yields an error as its last item.
 pub struct ChunkStream {
-    lines: BufReader<Box<dyn Read + Send>>,
-    request: Completion,
-    finished: bool,
-    ended: bool,
+    reader: BufReader<Box<dyn Read + Send>>,
+    request: CompletionRequest,
+    has_finish_reason: bool,
+    is_exhausted: bool,
 }
 
 impl ChunkStream {
-    /// A stream that reads the events of `source`, the answer to `request`.
-    pub fn new(source: Box<dyn Read + Send>, request: Completion) -> Self {
+    /// Creates a stream that reads the body of the response to `request`.
+    pub fn new(body_reader: Box<dyn Read + Send>, request: CompletionRequest) -> Self {
         Self {
-            lines: BufReader::new(source),
+            reader: BufReader::new(body_reader),
             request,
-            finished: false,
-            ended: false,
+            has_finish_reason: false,
+            is_exhausted: false,
         }
     }
 
     fn next_data(&mut self) -> Result<String, CallError> {
         loop {
             let mut line = String::new();
-            let read = (&mut self.lines)
+            let read = (&mut self.reader)
                 .take(MAX_LINE_BYTES)
                 .read_line(&mut line)
-                .map_err(|e| broken(&e))?;
+                .map_err(|e| io_error(&e))?;
             if read == 0 {
-                return Err(CallError::new(Fault::Truncated, "stream ended early"));
+                return Err(CallError::new(
+                    Fault::Truncated,
+                    "stream ended before [DONE]",
+                ));
             }
             if !line.ends_with('\n') {
                 return Err(CallError::new(
                     Fault::Truncated,
-                    "stream ended within a line",
+                    "stream line is incomplete or longer than 1 MiB",
                 ));
             }
             if let Some(data) = line.strip_prefix("data:") {
@@ -64,7 +70,7 @@
         }
     }
 
-    fn read_chunk(&mut self, data: &str) -> Result<Chunk, CallError> {
+    fn parse_chunk(&mut self, data: &str) -> Result<Chunk, CallError> {
         let body: Map<String, Value> = serde_json::from_str(data)
             .map_err(|e| CallError::new(Fault::Truncated, format!("stream event: {e}")))?;
         if body.contains_key("error") {
@@ -80,9 +86,9 @@
         let is_final = choice
             .and_then(|c| c.get("finish_reason"))
             .is_some_and(|r| !r.is_null());
-        self.finished |= is_final;
+        self.has_finish_reason |= is_final;
         Ok(Chunk {
-            usage: read_usage(&body),
+            usage: parse_usage(&body),
             body,
             text,
             is_final,
@@ -94,29 +100,34 @@
     type Item = Result<Chunk, CallError>;
 
     fn next(&mut self) -> Option<Self::Item> {
-        if self.ended {
+        if self.is_exhausted {
             return None;
         }
         let data = match self.next_data() {
             Ok(data) => data,
             Err(e) => {
-                self.ended = true;
+                self.is_exhausted = true;
                 return Some(Err(e));
             }
         };
         if data == "[DONE]" {
-            self.ended = true;
-            let early = !self.finished;
-            return early.then(|| Err(CallError::new(Fault::Truncated, "no finish reason")));
+            self.is_exhausted = true;
+            let is_incomplete = !self.has_finish_reason;
+            return is_incomplete.then(|| {
+                Err(CallError::new(
+                    Fault::Truncated,
+                    "stream has no finish reason",
+                ))
+            });
         }
-        let chunk = self.read_chunk(&data);
-        self.ended = chunk.is_err();
+        let chunk = self.parse_chunk(&data);
+        self.is_exhausted = chunk.is_err();
         Some(chunk)
     }
 }
 
 #[cold]
-pub(crate) fn broken(error: &std::io::Error) -> CallError {
+pub(crate) fn io_error(error: &std::io::Error) -> CallError {
     use std::io::ErrorKind::{TimedOut, WouldBlock};
     let fault = match error.kind() {
         TimedOut | WouldBlock => Fault::TimedOut,
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -114,7 +114,7 @@
                 order: OrderKind::Withdraw,
                 version: at.to_string(),
             };
-            if node.engine.order(&upstream.addr, &order).is_ok() {
+            if node.engine.send_order(&upstream.addr, &order).is_ok() {
                 ordered.insert(key);
             }
         }
--- a/crates/ivyweird/src/loads.rs
+++ b/crates/ivyweird/src/loads.rs
@@ -94,7 +94,7 @@
         };
         let asked_ms = node.clock.now_ms();
         node.metrics.load_polls.add(1, &[]);
-        let Ok(load) = node.engine.load(&target.addr) else {
+        let Ok(load) = node.engine.fetch_load(&target.addr) else {
             continue;
         };
         let versions: VersionSet = load.versions.iter().map(|v| v.as_str().into()).collect();
--- a/crates/ivyweird/src/run.rs
+++ b/crates/ivyweird/src/run.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ivyweir_caller::ChatRequest;
-use ivyweir_engine::{Answer, CallError, Completion, Fault, Usage};
+use ivyweir_engine::{CallError, CompletionRequest, CompletionResponse, Fault, Usage};
 use ivyweir_policy::billing::{Call, Record};
 use ivyweir_policy::quality::confidence_bucket;
 use ivyweir_policy::{Code, Name, Refusal, VersionRef};
@@ -31,7 +31,7 @@
     /// The version.
     pub at: VersionRef,
     /// The answer.
-    pub answer: Answer,
+    pub answer: CompletionResponse,
     /// What is learnt from it.
     pub observation: Observation,
 }
@@ -202,12 +202,16 @@
 }
 
 /// The request for one call; its id is new for each, so that answers cannot be mixed up.
-pub fn completion(context: &Context<'_>, request: &ChatRequest, at: &VersionRef) -> Completion {
+pub fn completion(
+    context: &Context<'_>,
+    request: &ChatRequest,
+    at: &VersionRef,
+) -> CompletionRequest {
     let id = context.node.unique();
     let mut body = request.body.clone();
     // Engines serve a lower value earlier.
     body.insert("priority".into(), (9 - context.marks.priority).into());
-    Completion::new(at.to_string(), id.as_ref(), body)
+    CompletionRequest::new(at.to_string(), id.as_ref(), body)
 }
 
 /// The charge for a call.
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -134,8 +134,8 @@
         let started_ms = self.context.node.clock.now_ms();
         self.sent_chunks_before = self.sent_chunks;
         let completion = run::completion(self.context, &self.remaining(), &self.at)
-            .streamed()
-            .continuing(&self.sent);
+            .with_streaming()
+            .with_partial_response(&self.sent);
         let timeout = Duration::from_millis(self.context.left_ms().max(1));
         let engine = &self.context.node.engine;
         let stream = engine.stream(&held.upstream.addr, &completion, timeout);
