--- a/crates/ivyweir-rating/src/lib.rs
+++ b/crates/ivyweir-rating/src/lib.rs
@@ -1,4 +1,4 @@
-//! Client of the service that rates answers.
+//! Client of the rating service, which scores answers to prompts.
 //!
 //! ```no_run
 //! use ivyweir_rating::{HttpRater, Rater};
@@ -14,10 +14,10 @@
 use attohttpc::{ProxySettings, RequestBuilder};
 use serde::{Deserialize, Serialize};
 
-/// Ratings are not urgent; one that takes longer is dropped.
+/// Timeout of a rating. No request waits for a rating, so a slower one is dropped.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A rating that was not given.
+/// Error of a rating request.
 #[derive(Debug)]
 pub struct Error {
     detail: String,
@@ -31,35 +31,35 @@
 
 impl std::error::Error for Error {}
 
-/// Somebody who rates answers.
+/// Client interface to a rating service.
 pub trait Rater: Send + Sync {
-    /// Rates an answer to a prompt from 0 to 1.
+    /// Rates `answer` as a response to `prompt`. The score ranges from 0 to 1.
     ///
     /// # Errors
     ///
-    /// [`Error`] when there is no rating within a few seconds.
+    /// Returns an error if there is no valid score within a few seconds.
     fn rate(&self, prompt: &str, answer: &str) -> Result<f64, Error>;
 }
 
-/// The rating service over HTTP.
+/// HTTP client of a rating service.
 #[derive(Debug, Clone)]
 pub struct HttpRater {
     base_url: String,
 }
 
 #[derive(Serialize)]
-struct Ask<'a> {
+struct RatingRequest<'a> {
     prompt: &'a str,
     answer: &'a str,
 }
 
 #[derive(Deserialize)]
-struct Rating {
+struct RatingResponse {
     score: f64,
 }
 
 impl HttpRater {
-    /// A client of the rating service at `base_url`.
+    /// Creates a client of the rating service at `base_url`.
     pub fn new(base_url: impl Into<String>) -> Self {
         Self {
             base_url: base_url.into(),
@@ -69,28 +69,31 @@
 
 impl Rater for HttpRater {
     fn rate(&self, prompt: &str, answer: &str) -> Result<f64, Error> {
-        let rating: Rating = RequestBuilder::new(
+        let rating: RatingResponse = RequestBuilder::new(
             attohttpc::Method::POST,
             format!("{}/v1/rate", self.base_url),
         )
         .proxy_settings(ProxySettings::builder().build())
         .follow_redirects(false)
         .timeout(TIMEOUT)
-        .json(&Ask { prompt, answer })
+        .json(&RatingRequest { prompt, answer })
         .and_then(|request| request.send())
         .and_then(|response| response.error_for_status())
         .and_then(|response| response.json_utf8())
-        .map_err(|e| failed(&e))?;
+        .map_err(|e| rating_error(&e))?;
         if (0.0..=1.0).contains(&rating.score) {
             Ok(rating.score)
         } else {
-            Err(failed(&format!("score {}, expected 0 to 1", rating.score)))
+            Err(rating_error(&format!(
+                "score {}, expected a number from 0 to 1",
+                rating.score
+            )))
         }
     }
 }
 
 #[cold]
-fn failed(detail: &dyn fmt::Display) -> Error {
+fn rating_error(detail: &dyn fmt::Display) -> Error {
     Error {
         detail: detail.to_string(),
     }
--- a/crates/ivyweir-service/src/lib.rs
+++ b/crates/ivyweir-service/src/lib.rs
@@ -1,4 +1,5 @@
-//! Client of plain services: methods, queries, headers and bodies are carried as they are.
+//! Client of plain HTTP services. Methods, queries and bodies are forwarded unchanged, as are
+//! headers that do not apply only to one connection.
 //!
 //! ```no_run
 //! use std::time::Duration;
@@ -17,11 +18,11 @@
 use attohttpc::header::HeaderName;
 use attohttpc::{Method, ProxySettings, RequestBuilder};
 
-/// Time to reach a service; they are a few milliseconds away.
+/// Timeout for connecting to a service. Round trips to services take a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Headers that belong to one connection and are not carried on.
-const HOP_HEADERS: &[&str] = &[
+/// Hop-by-unforwarded headers and others that apply only to one connection; they are not forwarded.
+const UNFORWARDED_HEADERS: &[&str] = &[
     "connection",
     "content-length",
     "host",
@@ -36,43 +37,43 @@
     "expect",
 ];
 
-/// One header line.
+/// An HTTP header field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// The name as the sender wrote it.
+    /// Field name. ASCII case is neither significant nor preserved.
     pub name: String,
-    /// The value.
+    /// Field value.
     pub value: String,
 }
 
-/// A call as the caller made it.
+/// A request to forward to a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// The method.
+    /// HTTP method.
     pub method: String,
-    /// Path and query.
+    /// Request target: the path and the query.
     pub path_and_query: String,
-    /// Headers.
+    /// Header fields. Those that apply only to one connection are not forwarded.
     pub headers: Vec<Header>,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// A service's reply.
+/// Response of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers.
+    /// Header fields, without those that apply only to one connection.
     pub headers: Vec<Header>,
-    /// The body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// A call that brought no reply.
+/// Error of a call without a complete reply.
 #[derive(Debug)]
 pub struct CallError {
-    /// Whether the service may have run it.
+    /// Whether the service may have executed the call.
     pub may_have_run: bool,
     detail: String,
 }
@@ -85,50 +86,53 @@
 
 impl std::error::Error for CallError {}
 
-/// A plain service.
+/// Client interface to plain HTTP services.
 pub trait Service: Send + Sync {
-    /// Makes a call and waits for the whole reply.
+    /// Sends a call and waits for the complete reply.
     ///
     /// # Errors
     ///
-    /// [`CallError`] when there is no whole reply within `timeout`.
+    /// Returns an error if there is no complete reply within `timeout`.
     fn call(&self, addr: &str, call: &Call, timeout: Duration) -> Result<Reply, CallError>;
 }
 
-/// Services reached over HTTP by IP address and port.
+/// HTTP client of services, which are addressed by IP address and port.
 #[derive(Debug, Clone, Default)]
 pub struct HttpService;
 
 impl Service for HttpService {
     fn call(&self, addr: &str, call: &Call, timeout: Duration) -> Result<Reply, CallError> {
-        let method = Method::from_bytes(call.method.as_bytes()).map_err(|e| never_sent(&e))?;
+        let method = Method::from_bytes(call.method.as_bytes()).map_err(|e| invalid_request(&e))?;
         let url = format!("http://{addr}{}", call.path_and_query);
         let mut request = RequestBuilder::try_new(method, url)
-            .map_err(|e| never_sent(&e))?
+            .map_err(|e| invalid_request(&e))?
             .proxy_settings(ProxySettings::builder().build())
             .follow_redirects(false)
             .connect_timeout(CONNECT_TIMEOUT.min(timeout))
             .read_timeout(timeout)
             .timeout(timeout);
-        for header in call.headers.iter().filter(|h| is_end_to_end(&h.name)) {
+        for header in call.headers.iter().filter(|h| is_forwarded(&h.name)) {
             let name =
-                HeaderName::from_bytes(header.name.as_bytes()).map_err(|e| never_sent(&e))?;
+                HeaderName::from_bytes(header.name.as_bytes()).map_err(|e| invalid_request(&e))?;
             request = request
                 .try_header_append(name, header.value.clone())
-                .map_err(|e| never_sent(&e))?;
+                .map_err(|e| invalid_request(&e))?;
         }
-        let response = request.bytes(&call.body).send().map_err(|e| lost(&e))?;
+        let response = request
+            .bytes(&call.body)
+            .send()
+            .map_err(|e| transport_error(&e))?;
         let status = response.status().as_u16();
         let headers = response
             .headers()
             .iter()
-            .filter(|(name, _)| is_end_to_end(name.as_str()))
+            .filter(|(name, _)| is_forwarded(name.as_str()))
             .map(|(name, value)| Header {
                 name: name.as_str().to_owned(),
                 value: String::from_utf8_lossy(value.as_bytes()).into_owned(),
             })
             .collect();
-        let body = response.bytes().map_err(|e| lost(&e))?;
+        let body = response.bytes().map_err(|e| transport_error(&e))?;
         Ok(Reply {
             status,
             headers,
@@ -137,12 +141,14 @@
     }
 }
 
-fn is_end_to_end(name: &str) -> bool {
-    !HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop))
+fn is_forwarded(name: &str) -> bool {
+    !UNFORWARDED_HEADERS
+        .iter()
+        .any(|unforwarded| name.eq_ignore_ascii_case(unforwarded))
 }
 
 #[cold]
-fn never_sent(error: &dyn fmt::Display) -> CallError {
+fn invalid_request(error: &dyn fmt::Display) -> CallError {
     CallError {
         may_have_run: false,
         detail: error.to_string(),
@@ -150,7 +156,7 @@
 }
 
 #[cold]
-fn lost(error: &attohttpc::Error) -> CallError {
+fn transport_error(error: &attohttpc::Error) -> CallError {
     let refused = matches!(
         error.kind(),
         attohttpc::ErrorKind::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused
