--- a/crates/ivyweir-caller/src/lib.rs
+++ b/crates/ivyweir-caller/src/lib.rs
@@ -12,8 +12,10 @@
 //! assert_eq!(request.model, "auto");
 //! assert!(!request.stream);
 //!
-//! let metadata =
-//!     RequestMetadata::from_headers(|name| (name == "X-Ivyweir-Priority").then_some("7")).unwrap();
+//! let metadata = RequestMetadata::from_headers(|name| {
+//!     (name == "X-Ivyweir-Priority").then_some("7")
+//! })
+//! .unwrap();
 //! assert_eq!(metadata.priority, 7);
 //! ```
 
--- a/crates/ivyweir-engine/src/lib.rs
+++ b/crates/ivyweir-engine/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of model engines: completions, streams, load reports and orders with fencing tokens.
 //!
-//! A response is accepted only if it is complete: its id must end with the request id, its model must be
-//! the requested version, and it must have a finish reason. Any other outcome is a [`CallError`],
-//! which tells whether the engine may have executed the call.
+//! A response is accepted only if it is complete: its id must end with the request id, its model
+//! must be the requested version, and it must have a finish reason. Any other outcome is a
+//! [`CallError`], which tells whether the engine may have executed the call.
 //!
 //! ```no_run
 //! use std::time::Duration;
