--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -71,7 +71,7 @@
 fn reply(context: &Context<'_>, completed: &CompletedCall) -> Reply {
     let body = serde_json::to_vec(&completed.answer.body).expect("an answer is always valid JSON");
     Reply::json(200, body)
-        .with("X-Ivyweir-Version", completed.version.to_string())
-        .with("X-Ivyweir-Request-Key", context.key.as_ref())
-        .with("X-Ivyweir-Box", context.node.incarnation.box_name.as_ref())
+        .with_header("X-Ivyweir-Version", completed.version.to_string())
+        .with_header("X-Ivyweir-Request-Key", context.key.as_ref())
+        .with_header("X-Ivyweir-Box", context.node.incarnation.box_name.as_ref())
 }
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
 
-use ivyweir_caller::{Header, Marks};
+use ivyweir_caller::{Header, RequestMetadata};
 use ivyweir_policy::claim::Incarnation;
 use ivyweir_policy::freshness::Freshness;
 use ivyweir_policy::token::Session;
@@ -24,7 +24,7 @@
     /// The caller's workspace.
     pub workspace: Name,
     /// Options that the caller set in headers.
-    pub options: Marks,
+    pub options: RequestMetadata,
     /// Session of the request, if it names one.
     pub session: Option<Session>,
     /// Idempotency key: the caller's, or a generated unique one.
@@ -54,7 +54,7 @@
     ///
     /// Returns a refusal for a malformed header, an unknown caller key or an invalid session.
     pub fn new(node: &'a Node, headers: &[Header]) -> Result<Self, Refusal> {
-        let options = Marks::from_headers(|name| header(headers, name))?;
+        let options = RequestMetadata::from_headers(|name| header(headers, name))?;
         let current = node.current();
         let workspace = authenticate(&current, &options)?;
         let session = match &options.session {
@@ -212,7 +212,7 @@
 
 const CLAIM_RETRY_AFTER_MS: u64 = 2_000;
 
-fn authenticate(current: &Current, options: &Marks) -> Result<Name, Refusal> {
+fn authenticate(current: &Current, options: &RequestMetadata) -> Result<Name, Refusal> {
     let unauthenticated = |text| Refusal::not_run(Code::Unauthenticated, text);
     let key = options
         .caller_key
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -118,7 +118,7 @@
                 order: OrderKind::Withdraw,
                 version: version.to_string(),
             };
-            if node.engine.order(&upstream.addr, &order).is_ok() {
+            if node.engine.send_order(&upstream.addr, &order).is_ok() {
                 sent_orders.insert(key);
             }
         }
--- a/crates/ivyweird/src/engine_call.rs
+++ b/crates/ivyweird/src/engine_call.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ivyweir_caller::ChatRequest;
-use ivyweir_engine::{Answer, CallError, Completion, Fault, Usage};
+use ivyweir_engine::{CallError, CompletionRequest, CompletionResponse, Fault, Usage};
 use ivyweir_policy::billing::{Call, Record};
 use ivyweir_policy::quality::confidence_bucket;
 use ivyweir_policy::{Code, Name, Refusal, VersionRef};
@@ -29,7 +29,7 @@
 /// A complete answer, the version that generated it and the quality observation of the call.
 pub struct CompletedCall {
     pub version: VersionRef,
-    pub answer: Answer,
+    pub answer: CompletionResponse,
     pub observation: Observation,
 }
 
@@ -223,12 +223,12 @@
     context: &Context<'_>,
     request: &ChatRequest,
     version: &VersionRef,
-) -> Completion {
+) -> CompletionRequest {
     let id = context.node.unique_name();
     let mut body = request.body.clone();
     // Engines serve lower values first; callers give higher values to more urgent requests.
     body.insert("priority".into(), (9 - context.options.priority).into());
-    Completion::new(version.to_string(), id.as_ref(), body)
+    CompletionRequest::new(version.to_string(), id.as_ref(), body)
 }
 
 /// The charge for a call, rounded up to a whole micro-unit.
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -143,8 +143,8 @@
         self.sent_chunks_before_call = self.sent_chunks;
         let completion =
             engine_call::completion(self.context, &self.remaining_request(), &self.version)
-                .streamed()
-                .continuing(&self.sent_text);
+                .with_streaming()
+                .with_partial_response(&self.sent_text);
         let timeout = Duration::from_millis(self.context.remaining_ms().max(1));
         let engine = &self.context.node.engine;
         let stream = engine.stream(&reservation.upstream.addr, &completion, timeout);
@@ -207,7 +207,7 @@
         self.send_head().map_err(|_| StreamError::CallerGone)?;
         let text = serde_json::to_string(&body).expect("a chunk is always valid JSON");
         let events = self.events.as_mut().expect("the stream has begun");
-        events.event(&text).map_err(|_| StreamError::CallerGone)?;
+        events.write_event(&text).map_err(|_| StreamError::CallerGone)?;
         self.sent_text.push_str(&chunk.text);
         self.sent_chunks += 1;
         Ok(())
@@ -254,7 +254,7 @@
         let mut events = self.events.take().expect("the stream has begun");
         for chunk in &self.held_back_chunks {
             let text = serde_json::to_string(chunk).expect("a chunk is always valid JSON");
-            if events.event(&text).is_err() {
+            if events.write_event(&text).is_err() {
                 return "caller_gone";
             }
         }
@@ -271,7 +271,7 @@
             let _caller_gone = incoming.reply(Reply::from(refusal));
         } else if let Some(events) = self.events.take() {
             let refusal = Refusal::unknown(refusal.code, refusal.message.clone());
-            let _caller_gone = events.fail(&refusal);
+            let _caller_gone = events.finish_with_error(&refusal);
         }
         refusal.code.as_str()
     }
