--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -207,7 +207,9 @@
         self.send_head().map_err(|_| StreamError::CallerGone)?;
         let text = serde_json::to_string(&body).expect("a chunk is always valid JSON");
         let events = self.events.as_mut().expect("the stream has begun");
-        events.write_event(&text).map_err(|_| StreamError::CallerGone)?;
+        events
+            .write_event(&text)
+            .map_err(|_| StreamError::CallerGone)?;
         self.sent_text.push_str(&chunk.text);
         self.sent_chunks += 1;
         Ok(())
