--- a/crates/ivyweird/src/main.rs
+++ b/crates/ivyweird/src/main.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use gumdrop::Options;
-use ivyweir_adapter::{DutyCalls, ObjectCodec};
+use ivyweir_adapter::{ObjectCodec, PlatformDutyCodec};
 use ivyweir_gateway::native::{self, NativeCodec, NativeDuties};
 use ivyweir_gateway::{Adapter, DialectChoice, Settings as GatewaySettings};
 use ivyweird::Settings;
@@ -87,7 +87,7 @@
         DialectChoice::Platform => Adapter {
             dialect: Arc::new(ivyweir_adapter::dialect()),
             store: Arc::new(ObjectCodec::new(settings.store_addr)),
-            duties: Arc::new(DutyCalls),
+            duties: Arc::new(PlatformDutyCodec),
         },
     };
     match ivyweir_gateway::run(settings, adapter) {
