--- a/crates/ivyweird/src/config.rs
+++ b/crates/ivyweird/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this box, and the proof that it is the latest.
+//! The active configuration of this box, and when it was last verified to be the latest.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, RwLock};
@@ -8,105 +8,106 @@
 
 use crate::shards::lock;
 
-/// A configuration with its JSON bytes.
+/// A configuration together with its JSON encoding.
 #[derive(Debug)]
-pub struct Current {
-    /// The configuration.
+pub struct ConfigSnapshot {
     pub config: Config,
-    /// The bytes it was read from.
+    /// The JSON bytes that `config` was parsed from.
     pub body: Arc<[u8]>,
-    /// Hash of the bytes.
+    /// Hash of `body`.
     pub digest: u64,
 }
 
-/// What became of an offered configuration.
+/// The outcome of [`ConfigState::offer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Adoption {
-    /// It is in force now.
+pub enum OfferOutcome {
+    /// The configuration was newer and is now active.
     Adopted,
-    /// It was in force already.
-    Same,
-    /// It is of a lower generation.
+    /// The configuration was already active.
+    Unchanged,
+    /// The generation is lower than the active one.
     Older,
-    /// It differs from the one in force at the same generation; this must never happen.
+    /// The content differs from the active configuration of the same generation. This must never
+    /// happen: a generation has one content.
     Forked,
-    /// It is not a configuration.
-    Unreadable,
+    /// The bytes do not parse as a configuration.
+    Invalid,
 }
 
-/// The configuration in force. Its generation never falls.
+/// Holder of the active configuration, whose generation never decreases.
 pub struct ConfigState {
-    current: RwLock<Arc<Current>>,
-    /// Held while a configuration is replaced.
-    adopting: Mutex<()>,
-    /// When the one in force was shown to be the latest, by this box's clock; 0 for never.
+    current: RwLock<Arc<ConfigSnapshot>>,
+    /// Serialises calls to `offer`, so that compare and replace are atomic.
+    update_lock: Mutex<()>,
+    /// When the active configuration was last verified to be the latest, on this box's clock; 0 if
+    /// it never was.
     proof_ms: AtomicU64,
 }
 
 impl ConfigState {
-    /// Nothing in force: generation 0.
+    /// Creates the state with an empty configuration of generation 0.
     pub fn new() -> Self {
         Self {
-            current: RwLock::new(Arc::new(current_of(Config::default(), Vec::new()))),
-            adopting: Mutex::new(()),
+            current: RwLock::new(Arc::new(snapshot(Config::default(), Vec::new()))),
+            update_lock: Mutex::new(()),
             proof_ms: AtomicU64::new(0),
         }
     }
 
-    /// The configuration in force.
-    pub fn get(&self) -> Arc<Current> {
+    /// Returns the active configuration.
+    pub fn get(&self) -> Arc<ConfigSnapshot> {
         self.current
             .read()
             .expect("no thread panicked with the lock")
             .clone()
     }
 
-    /// Its generation; 0 before the first one.
+    /// Returns the active generation; 0 before the first configuration is adopted.
     pub fn generation(&self) -> u64 {
         self.get().config.generation
     }
 
-    /// Puts a configuration in force if its generation is higher.
+    /// Activates a configuration if its generation is higher than the active one.
     ///
-    /// `proof_ms` is when it was shown to be the latest, by this box's clock, if that is known.
-    pub fn offer(&self, body: &[u8], proof_ms: Option<u64>) -> Adoption {
-        let _one_at_a_time = lock(&self.adopting);
-        let held = self.get();
-        if hash64(&[body]) == held.digest && held.config.generation > 0 {
-            self.prove(held.config.generation, proof_ms);
-            return Adoption::Same;
+    /// `proof_ms` is when it was verified to be the latest, on this box's clock, if known.
+    pub fn offer(&self, body: &[u8], proof_ms: Option<u64>) -> OfferOutcome {
+        let _guard = lock(&self.update_lock);
+        let active = self.get();
+        if hash64(&[body]) == active.digest && active.config.generation > 0 {
+            self.record_proof(active.config.generation, proof_ms);
+            return OfferOutcome::Unchanged;
         }
         let Ok(config) = Config::from_slice(body) else {
-            return Adoption::Unreadable;
+            return OfferOutcome::Invalid;
         };
-        if config.generation < held.config.generation {
-            return Adoption::Older;
+        if config.generation < active.config.generation {
+            return OfferOutcome::Older;
         }
-        if config.generation == held.config.generation {
-            return Adoption::Forked;
+        if config.generation == active.config.generation {
+            return OfferOutcome::Forked;
         }
-        self.replace(current_of(config, body.to_vec()));
+        self.replace(snapshot(config, body.to_vec()));
         self.proof_ms
             .fetch_max(proof_ms.unwrap_or(0), Ordering::AcqRel);
-        Adoption::Adopted
+        OfferOutcome::Adopted
     }
 
-    fn replace(&self, next: Current) {
-        let mut held = self
+    fn replace(&self, next: ConfigSnapshot) {
+        let mut active = self
             .current
             .write()
             .expect("no thread panicked with the lock");
         assert!(
-            next.config.generation > held.config.generation,
+            next.config.generation > active.config.generation,
             "invariant: an accepted configuration never reverts"
         );
-        *held = Arc::new(next);
+        *active = Arc::new(next);
     }
 
-    /// Notes that `generation` was the latest at `proof_ms`.
+    /// Records that `generation` was the latest at `proof_ms`.
     ///
-    /// That shows the same for any higher generation held here.
-    pub fn prove(&self, generation: u64, proof_ms: Option<u64>) {
+    /// The proof also covers an active configuration of a higher generation.
+    pub fn record_proof(&self, generation: u64, proof_ms: Option<u64>) {
         if let Some(proof_ms) = proof_ms
             && generation <= self.generation()
         {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Age of the newest proof.
+    /// Returns the age of the newest proof, if there is one.
     pub fn proof_age_ms(&self, now_ms: u64) -> Option<u64> {
         match self.proof_ms.load(Ordering::Acquire) {
             0 => None,
@@ -129,40 +130,40 @@
     }
 }
 
-fn current_of(config: Config, body: Vec<u8>) -> Current {
-    Current {
+fn snapshot(config: Config, body: Vec<u8>) -> ConfigSnapshot {
+    ConfigSnapshot {
         config,
         digest: hash64(&[&body]),
         body: body.into(),
     }
 }
 
-/// The box list seen last; its generation never falls either.
+/// Holder of the newest box list, whose generation never decreases.
 #[derive(Default)]
 pub struct BoxListState {
-    held: Mutex<(Arc<BoxList>, Arc<[u8]>)>,
+    list_and_body: Mutex<(Arc<BoxList>, Arc<[u8]>)>,
 }
 
 impl BoxListState {
-    /// The list.
+    /// Returns the newest box list.
     pub fn get(&self) -> Arc<BoxList> {
-        lock(&self.held).0.clone()
+        lock(&self.list_and_body).0.clone()
     }
 
-    /// The bytes it was read from.
+    /// Returns the JSON bytes that the list was parsed from.
     pub fn body(&self) -> Arc<[u8]> {
-        lock(&self.held).1.clone()
+        lock(&self.list_and_body).1.clone()
     }
 
-    /// Takes over a list of a higher generation. Returns it if it was one.
+    /// Stores a box list if its generation is higher. Returns the list if it was stored.
     pub fn offer(&self, body: &[u8]) -> Option<Arc<BoxList>> {
         let list: BoxList = serde_json::from_slice(body).ok()?;
-        let mut held = lock(&self.held);
-        if list.generation <= held.0.generation {
+        let mut current = lock(&self.list_and_body);
+        if list.generation <= current.0.generation {
             return None;
         }
         let list = Arc::new(list);
-        *held = (list.clone(), body.into());
+        *current = (list.clone(), body.into());
         Some(list)
     }
 }
--- a/crates/ivyweird/src/confirm.rs
+++ b/crates/ivyweird/src/confirm.rs
@@ -1,83 +1,89 @@
-//! Confirming plans: one conditional update, repeated until the store says what became of it.
+//! Confirmation of plans: a conditional update of the stored configuration, retried until its
+//! outcome is known.
 
 use ivyweir_operator::ConfirmReply;
 use ivyweir_platform::{ErrorKind, Expect, PutOutcome};
 use ivyweir_policy::{Config, Plan, freshness, take_excess_audit_entries};
 
 use crate::clock::Clock;
-use crate::config::Adoption;
+use crate::config::OfferOutcome;
 use crate::node::Node;
 use crate::spread::{self, CONFIG_OBJECT};
-use crate::{audit, config::Current};
+use crate::{audit, config::ConfigSnapshot};
 
-/// Rounds of read and conditional write before the outcome is told as unknown.
-const ROUNDS: usize = 6;
+/// Attempts to read and conditionally write before the outcome is reported as unknown.
+const MAX_ATTEMPTS: usize = 6;
 
-/// What one round brought.
-enum Round {
+/// The outcome of one attempt.
+enum Attempt {
     Done(ConfirmReply),
-    /// Somebody else wrote in between: read again.
-    Again,
-    /// The store did not say whether it took the change: read again to see.
-    InDoubt(String),
+    /// Another writer updated the configuration since it was read.
+    Conflict,
+    /// It is not known whether the change was written, for the given reason. The next attempt
+    /// reads the configuration to find out.
+    Unknown(String),
 }
 
-/// Confirms a plan in an operator's name.
+/// Confirms a plan on behalf of an operator.
 ///
 /// # Errors
 ///
-/// A sentence that says why nothing was tried.
+/// Returns the reason why no attempt was made.
 pub fn confirm(node: &Node, plan: &Plan, operator: &str) -> Result<ConfirmReply, String> {
-    // A change accepted by a box that hears no majority might not reach the others.
+    // A change accepted by a box that is not in contact with a majority might not reach the others.
     if !freshness::may_accept_change(node.evidence()) {
-        return Err("this box hears too few others to accept a change".into());
+        return Err("this box is in contact with too few other boxes to accept a change".into());
     }
-    // A store that was set back must not get a second change of a generation that was in force.
+    // If the store was restored to an older state, a change based on it would reuse a generation
+    // that was already active.
     if node.is_behind() {
         return Err("another box has a newer configuration; try again".into());
     }
-    let mut in_doubt = None;
-    for _ in 0..ROUNDS {
-        match round(node, plan, operator, in_doubt.is_some()) {
-            Round::Done(reply) => return Ok(reply),
-            Round::Again => {}
-            Round::InDoubt(detail) => in_doubt = Some(detail),
+    let mut unknown_reason = None;
+    for _ in 0..MAX_ATTEMPTS {
+        match attempt(node, plan, operator, unknown_reason.is_some()) {
+            Attempt::Done(reply) => return Ok(reply),
+            Attempt::Conflict => {}
+            Attempt::Unknown(detail) => unknown_reason = Some(detail),
         }
     }
-    let detail = in_doubt.unwrap_or_else(|| "others kept changing the configuration".into());
+    let detail = unknown_reason
+        .unwrap_or_else(|| "every attempt conflicted with another configuration change".into());
     Ok(ConfirmReply::Unknown { detail })
 }
 
-fn round(node: &Node, plan: &Plan, operator: &str, tried_before: bool) -> Round {
+fn attempt(node: &Node, plan: &Plan, operator: &str, may_be_written: bool) -> Attempt {
     node.metrics.store_call("config_read");
     let object = match node.store.get(CONFIG_OBJECT) {
         Ok(Some(object)) => object,
-        Ok(None) => return Round::InDoubt("the store has no configuration".into()),
-        Err(e) => return Round::InDoubt(e.to_string()),
+        Ok(None) => return Attempt::Unknown("the store contains no configuration".into()),
+        Err(e) => return Attempt::Unknown(e.to_string()),
     };
-    if spread::take_config(node, &object.body, None) == Adoption::Older {
-        return Round::InDoubt("the store is behind this box and is being repaired".into());
+    if spread::take_config(node, &object.body, None) == OfferOutcome::Older {
+        return Attempt::Unknown(
+            "the stored configuration is older than this box's and is being repaired".into(),
+        );
     }
     let Ok(base) = Config::from_slice(&object.body) else {
-        return Round::InDoubt("the store's configuration cannot be read".into());
+        return Attempt::Unknown("the stored configuration is not valid".into());
     };
     if plan.is_applied(&base) {
-        return Round::Done(applied_before(node, plan, &base, tried_before));
+        return Attempt::Done(already_applied_reply(node, plan, &base, may_be_written));
     }
     let mut next = match plan.apply(&base, operator, Clock::epoch_ms()) {
         Ok(next) => next,
-        Err(_) => return Round::Done(moved(node, plan, &base)),
+        Err(_) => return Attempt::Done(moved_reply(node, plan, &base)),
     };
-    let surplus = take_excess_audit_entries(&mut next);
-    if !surplus.is_empty()
-        && let Err(e) = audit::archive(node, &next, &surplus)
+    let excess = take_excess_audit_entries(&mut next);
+    if !excess.is_empty()
+        && let Err(e) = audit::archive(node, &next, &excess)
     {
-        return Round::InDoubt(e.to_string());
+        return Attempt::Unknown(e.to_string());
     }
-    write(node, plan, &base, &next, object.revision)
+    write_config(node, plan, &base, &next, object.revision)
 }
 
-fn write(node: &Node, plan: &Plan, base: &Config, next: &Config, revision: u64) -> Round {
+fn write_config(node: &Node, plan: &Plan, base: &Config, next: &Config, revision: u64) -> Attempt {
     let body = next.to_vec();
     node.metrics.store_call("config_write");
     match node
@@ -87,25 +93,31 @@
         Ok(PutOutcome::Written { .. }) => {
             spread::take_config(node, &body, Some(node.clock.now_ms()));
             spread::push_config(node);
-            Round::Done(ConfirmReply::Applied {
+            Attempt::Done(ConfirmReply::Applied {
                 generation: next.generation,
                 rebased: base.generation != plan.base_generation,
             })
         }
-        Ok(PutOutcome::Conflict) => Round::Again,
+        Ok(PutOutcome::Conflict) => Attempt::Conflict,
         Err(e) if e.kind() == ErrorKind::Refused => {
-            node.pause(REFUSED_PAUSE);
-            Round::InDoubt(e.to_string())
+            node.pause(REFUSED_RETRY_DELAY);
+            Attempt::Unknown(e.to_string())
         }
-        Err(e) => Round::InDoubt(e.to_string()),
+        Err(e) => Attempt::Unknown(e.to_string()),
     }
 }
 
-const REFUSED_PAUSE: std::time::Duration = std::time::Duration::from_millis(200);
+const REFUSED_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(200);
 
-/// The plan is in the store: by an earlier confirm, or by this one whose answer was lost.
-fn applied_before(node: &Node, plan: &Plan, base: &Config, tried_before: bool) -> ConfirmReply {
-    if !tried_before {
+/// Builds the reply for a plan that is already in the stored configuration: written by an earlier
+/// confirmation, or by this one if the reply to its write was lost.
+fn already_applied_reply(
+    node: &Node,
+    plan: &Plan,
+    base: &Config,
+    may_be_written: bool,
+) -> ConfirmReply {
+    if !may_be_written {
         return ConfirmReply::AlreadyApplied {
             generation: base.generation,
         };
@@ -122,19 +134,24 @@
     }
 }
 
-fn moved(node: &Node, plan: &Plan, base: &Config) -> ConfirmReply {
+fn moved_reply(node: &Node, plan: &Plan, base: &Config) -> ConfirmReply {
     match Plan::create(base, plan.intent.clone(), node.settings.fleet_key()) {
         Ok(fresh) => ConfirmReply::Moved {
             fresh: Box::new(fresh),
         },
         Err(e) => ConfirmReply::Unknown {
-            detail: format!("the intent no longer fits: {e}"),
+            detail: format!("the intent does not apply to the current configuration: {e}"),
         },
     }
 }
 
-/// Applies a change of the system's own, such as a roll-out's step. Returns whether it was accepted.
-pub fn apply_own(node: &Node, current: &Current, intent: ivyweir_policy::Intent) -> bool {
+/// Applies a change that the system initiates, such as a roll-out step. Returns whether it was
+/// applied.
+pub fn apply_system_change(
+    node: &Node,
+    current: &ConfigSnapshot,
+    intent: ivyweir_policy::Intent,
+) -> bool {
     let Ok(plan) = Plan::create(&current.config, intent, node.settings.fleet_key()) else {
         return false;
     };
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -10,18 +10,18 @@
 use ivyweir_policy::{Code, ErrorKind, Name, Refusal, VersionRef};
 
 use crate::clock::Clock;
-use crate::config::Current;
+use crate::config::ConfigSnapshot;
 use crate::gate::Moment;
+use crate::idempotency::{self, ClaimResult};
 use crate::learn::class_name;
 use crate::node::Node;
-use crate::once::{self, Claimed};
 
 /// A request in progress.
 pub struct Context<'a> {
     /// The box.
     pub node: &'a Node,
     /// The configuration when the request came.
-    pub current: Arc<Current>,
+    pub current: Arc<ConfigSnapshot>,
     /// The caller's workspace.
     pub workspace: Name,
     /// What the caller said in headers.
@@ -185,16 +185,16 @@
             Some(session) => format!("s/{}", session.nonce).into(),
             None => self.node.unique(),
         };
-        match once::claim_key(self.node, &self.workspace, &self.key, &nonce) {
-            Claimed::Granted => Ok(()),
-            Claimed::Taken(holder) => {
+        match idempotency::claim_key(self.node, &self.workspace, &self.key, &nonce) {
+            ClaimResult::Granted => Ok(()),
+            ClaimResult::Taken(holder) => {
                 let text = format!("the key was used at {}", holder.box_name);
                 self.taken_by.replace(Some(holder));
                 Err(Refusal::unknown(Code::Duplicate, text))
             }
             // The session's authority is enough while the store is out.
-            Claimed::NotWritten if self.session.is_some() => Ok(()),
-            Claimed::NotWritten => {
+            ClaimResult::NotWritten if self.session.is_some() => Ok(()),
+            ClaimResult::NotWritten => {
                 let text =
                     "the claim could not be written; use a session to go on without the store";
                 let refusal = Refusal::not_run(Code::ClaimUnavailable, text);
@@ -206,7 +206,7 @@
 
 const CLAIM_HINT_MS: u64 = 2_000;
 
-fn authenticate(current: &Current, marks: &Marks) -> Result<Name, Refusal> {
+fn authenticate(current: &ConfigSnapshot, marks: &Marks) -> Result<Name, Refusal> {
     let unauthenticated = |text| Refusal::not_run(Code::Unauthenticated, text);
     let key = marks
         .caller_key
@@ -219,7 +219,11 @@
         .ok_or_else(|| unauthenticated("Authorization: no workspace has this key"))
 }
 
-fn open_session(current: &Current, token: &str, workspace: &str) -> Result<Session, Refusal> {
+fn open_session(
+    current: &ConfigSnapshot,
+    token: &str,
+    workspace: &str,
+) -> Result<Session, Refusal> {
     let keys = &current.config.session_keys;
     Session::from_signed_token(token, keys, workspace, Clock::epoch_ms()).map_err(|e| {
         let code = match e.kind() {
--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -234,7 +234,7 @@
     let proof_ms = digest
         .proof_age_ms
         .map(|age| now_ms.saturating_sub(u64::from(age)));
-    node.config.prove(mark.generation, proof_ms);
+    node.config.record_proof(mark.generation, proof_ms);
     held
 }
 
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -30,7 +30,7 @@
         if node.is_draining() || !(held || is_standby(node)) {
             continue;
         }
-        lease.tend(node.store.as_ref(), || node.clock.now_ms());
+        lease.renew_or_acquire(node.store.as_ref(), || node.clock.now_ms());
         let now_ms = node.clock.now_ms();
         if lease.is_held(now_ms) != held {
             held = !held;
@@ -78,7 +78,7 @@
             continue;
         };
         if lease.is_held(node.clock.now_ms()) {
-            confirm::apply_own(node, &current, intent);
+            confirm::apply_system_change(node, &current, intent);
         }
     }
 }
@@ -140,5 +140,5 @@
         // A token is signed by a key that was the newest, for at most one rotation after its making.
         drop_before_ms: now_ms.saturating_sub(2 * limits.session_key_ms + limits.session_ms),
     };
-    confirm::apply_own(node, &current, intent);
+    confirm::apply_system_change(node, &current, intent);
 }
--- a/crates/ivyweird/src/forward.rs
+++ b/crates/ivyweird/src/forward.rs
@@ -9,8 +9,8 @@
 
 use crate::caller_api::{self, Parsed};
 use crate::context::Context;
+use crate::idempotency::ExecutionPermit;
 use crate::node::Node;
-use crate::once::Permit;
 use crate::spread;
 
 /// Says that a request was forwarded; a second forward is refused.
@@ -28,15 +28,15 @@
     let mine = opener == node.opener();
     let permit = node.once.begin(&opener, &entry);
     match permit {
-        Permit::Run => run_and_keep(context, &entry, run),
-        Permit::Kept(reply) => Ok(reply),
-        Permit::Elsewhere(successor) => send(context, parsed, &successor),
-        Permit::Refused(refusal) if mine => Err(refusal),
-        Permit::Refused(refusal) if refusal.code == Code::SessionLost => {
+        ExecutionPermit::Run => run_and_keep(context, &entry, run),
+        ExecutionPermit::Completed(reply) => Ok(reply),
+        ExecutionPermit::Forward(successor) => send(context, parsed, &successor),
+        ExecutionPermit::Refused(refusal) if mine => Err(refusal),
+        ExecutionPermit::Refused(refusal) if refusal.code == Code::SessionLost => {
             let holder = holder(node, &opener).ok_or(refusal)?;
             send(context, parsed, &holder)
         }
-        Permit::Refused(refusal) => Err(refusal),
+        ExecutionPermit::Refused(refusal) => Err(refusal),
     }
 }
 
@@ -49,7 +49,7 @@
     let outcome = run();
     match &outcome {
         Ok(reply) => once.finish(entry, reply),
-        Err(_) if context.may_have_run() => once.lose(entry),
+        Err(_) if context.may_have_run() => once.mark_lost(entry),
         Err(refusal) if refusal.code == Code::Duplicate => {
             once.release(entry);
             if let Some(reply) = kept_elsewhere(context) {
--- a/crates/ivyweird/src/once.rs
+++ b/crates/ivyweird/src/idempotency.rs
@@ -1,4 +1,5 @@
-//! Requests that run at most once: authority for sessions, claims in the store for all.
+//! At-most-once execution of requests by idempotency key: an in-memory authority for sessions, and
+//! claims in the store for all requests.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -15,68 +16,72 @@
 use crate::node::Node;
 use crate::shards::{Shards, lock};
 
-/// Answers kept per shard; an older one is told as lost.
-const KEPT_PER_SHARD: usize = 256;
-/// Largest answer that is kept.
-const MAX_KEPT_BYTES: usize = 64 << 10;
-/// Rounds of read and conditional write before a claim is given up.
-const CLAIM_ROUNDS: usize = 8;
-/// Time after which no further round is begun: a caller waits, and a store that hangs is out.
-const CLAIM_MS: u64 = 1_000;
+/// Maximum number of replies cached per shard. Keys of evicted replies are reported as lost.
+const MAX_REPLIES_PER_SHARD: usize = 256;
+/// Maximum body size of a cached reply.
+const MAX_REPLY_BYTES: usize = 64 << 10;
+/// Attempts to read and conditionally write a claim.
+const MAX_CLAIM_ATTEMPTS: usize = 8;
+/// Time after which no further attempt starts. The caller is waiting, and a store that takes longer
+/// is treated as unavailable.
+const CLAIM_TIMEOUT_MS: u64 = 1_000;
 
-/// What a request that runs at most once may do.
+/// How to proceed with a request that runs at most once.
 #[derive(Debug)]
-pub enum Permit {
-    /// Run it, now and once; then [`Once::finish`] or [`Once::lose`] it.
+pub enum ExecutionPermit {
+    /// Execute the request, then call [`IdempotencyKeys::finish`], [`IdempotencyKeys::mark_lost`] or
+    /// [`IdempotencyKeys::release`].
     Run,
-    /// It has run: this is its answer.
-    Kept(Reply),
-    /// It must not run here.
+    /// The request has already run and produced this reply.
+    Completed(Reply),
+    /// The request must not run on this box.
     Refused(Refusal),
-    /// Another box holds the authority.
-    Elsewhere(Incarnation),
+    /// The given box is now the authority for the session.
+    Forward(Incarnation),
 }
 
-/// The keys that this box answers for.
-pub struct Once {
-    me: Incarnation,
+/// The idempotency keys that this box is the authority for.
+pub struct IdempotencyKeys {
+    local: Incarnation,
     shards: Shards<Shard>,
-    /// One writer of claims at a time and shard of the journal.
-    writers: Vec<Mutex<()>>,
+    /// One lock per shard of the journal; serialises this box's writes to the shard.
+    journal_locks: Vec<Mutex<()>>,
 }
 
 struct Shard {
     authority: Authority<Reply>,
-    kept: VecDeque<Name>,
+    /// Keys with a cached reply, oldest first.
+    cached: VecDeque<Name>,
 }
 
-impl Once {
-    /// No key used.
-    pub fn new(me: &Incarnation) -> Self {
+impl IdempotencyKeys {
+    /// Creates a registry without any keys.
+    pub fn new(local: &Incarnation) -> Self {
         let make = || Shard {
-            authority: Authority::new(me.clone()),
-            kept: VecDeque::new(),
+            authority: Authority::new(local.clone()),
+            cached: VecDeque::new(),
         };
         Self {
-            me: me.clone(),
+            local: local.clone(),
             shards: Shards::new(make),
-            writers: (0..claim::SHARD_COUNT).map(|_| Mutex::new(())).collect(),
+            journal_locks: (0..claim::SHARD_COUNT).map(|_| Mutex::new(())).collect(),
         }
     }
 
-    /// Asks to run `key`, for a session that `opener` opened or for none.
-    pub fn begin(&self, opener: &Incarnation, key: &Name) -> Permit {
+    /// Requests to execute `key`. `opener` is the box that opened the session, or this box for a
+    /// request without a session.
+    pub fn begin(&self, opener: &Incarnation, key: &Name) -> ExecutionPermit {
         match self.shards.of(key).authority.begin(opener, key) {
-            BeginOutcome::Run => Permit::Run,
-            BeginOutcome::Completed(reply) => Permit::Kept(reply),
-            BeginOutcome::Running => Permit::Refused(Refusal::unknown(
+            BeginOutcome::Run => ExecutionPermit::Run,
+            BeginOutcome::Completed(reply) => ExecutionPermit::Completed(reply),
+            BeginOutcome::Running => ExecutionPermit::Refused(Refusal::unknown(
                 Code::Duplicate,
                 "the request with this key is still running",
             )),
-            BeginOutcome::Lost => Permit::Refused(lost()),
-            BeginOutcome::HandedOver(Some(successor)) => Permit::Elsewhere(successor),
+            BeginOutcome::Lost => ExecutionPermit::Refused(lost()),
+            BeginOutcome::HandedOver(Some(successor)) => ExecutionPermit::Forward(successor),
             BeginOutcome::HandedOver(None) | BeginOutcome::NotAuthority => {
-                Permit::Refused(Refusal::unknown(
+                ExecutionPermit::Refused(Refusal::unknown(
                     Code::SessionLost,
                     "the box that opened the session is gone; open a new session",
                 ))
@@ -84,33 +89,34 @@
         }
     }
 
-    /// Keeps the answer of a key that ran here.
+    /// Records the reply of a key that this box executed. A reply above the size limit is not cached.
     pub fn finish(&self, key: &Name, reply: &Reply) {
         let mut shard = self.shards.of(key);
-        if reply.body.len() > MAX_KEPT_BYTES {
+        if reply.body.len() > MAX_REPLY_BYTES {
             shard.authority.mark_lost(key);
             return;
         }
         shard.authority.finish(key, reply.clone());
-        shard.kept.push_back(key.clone());
-        if shard.kept.len() > KEPT_PER_SHARD
-            && let Some(oldest) = shard.kept.pop_front()
+        shard.cached.push_back(key.clone());
+        if shard.cached.len() > MAX_REPLIES_PER_SHARD
+            && let Some(oldest) = shard.cached.pop_front()
         {
             shard.authority.mark_lost(&oldest);
         }
     }
 
-    /// Notes that a key ran, or may have, without an answer.
-    pub fn lose(&self, key: &Name) {
+    /// Records that a key ran, or may have run, without a reply that can be returned again.
+    pub fn mark_lost(&self, key: &Name) {
         self.shards.of(key).authority.mark_lost(key);
     }
 
-    /// Takes back a key of which nothing has left for an upstream.
+    /// Makes a key usable again after an execution of which nothing was sent to an upstream.
     pub fn release(&self, key: &Name) {
         self.shards.of(key).authority.release(key);
     }
 
-    /// Runs no key any more and passes the used ones on. Returns the one successor and the keys.
+    /// Stops accepting new keys. Returns the final successor and the keys used so far, which are to be
+    /// handed over to it.
     pub fn freeze(&self, successor: Option<Incarnation>) -> (Option<Incarnation>, Vec<Name>) {
         let mut chosen = successor;
         let mut used = Vec::new();
@@ -122,12 +128,14 @@
         (chosen, used)
     }
 
-    /// Takes over another box's sessions and the keys it used. Returns whether it did.
+    /// Takes over the sessions of another box and the keys that it used. Returns whether all shards
+    /// accepted.
     pub fn adopt(&self, from: &Incarnation, used: Vec<Name>) -> bool {
-        let mut by_shard: Vec<Name> = used;
+        let mut used_keys: Vec<Name> = used;
         let mut adopted = true;
-        // Each key goes to its own shard before any shard answers for the sessions.
-        for key in by_shard.drain(..) {
+        // All used keys must be recorded in their shards before any shard accepts requests of the
+        // sessions; otherwise a used key could run again.
+        for key in used_keys.drain(..) {
             self.shards.of(&key).authority.mark_lost(&key);
         }
         for mut shard in self.shards.iter() {
@@ -136,9 +144,9 @@
         adopted
     }
 
-    /// The answer of a key, for a peer that was asked for it.
+    /// Returns the execution outcome of a key to a peer.
     pub fn outcome(&self, key: &Name) -> pb::OutcomeReply {
-        let nobody = Incarnation {
+        let no_opener = Incarnation {
             box_name: "".into(),
             number: 0,
         };
@@ -146,7 +154,7 @@
             status: status.into(),
             ..Default::default()
         };
-        match self.shards.of(key).authority.begin(&nobody, key) {
+        match self.shards.of(key).authority.begin(&no_opener, key) {
             BeginOutcome::Completed(reply) => pb::OutcomeReply {
                 status: pb::OutcomeStatus::OutcomeKept.into(),
                 http_status: u32::from(reply.status),
@@ -171,23 +179,24 @@
 fn lost() -> Refusal {
     Refusal::unknown(
         Code::Duplicate,
-        "the key was used and its answer is not kept",
+        "the request with this key has run, or may have, and its answer is not available",
     )
 }
 
-/// What the journal in the store says of a key.
+/// The outcome of claiming a key in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claimed {
-    /// The claim is in the store.
+pub enum ClaimResult {
+    /// The claim is written to the store.
     Granted,
-    /// Somebody else holds the key.
+    /// Another request holds the key; this is the incarnation that claimed it.
     Taken(Incarnation),
-    /// The store did not answer; the claim may be there or not.
+    /// The store did not confirm the write; the claim may or may not exist.
     NotWritten,
 }
 
-/// Claims a key in the store, through the owner of its shard if that is another box.
-pub fn claim_key(node: &Node, workspace: &str, key: &str, nonce: &Name) -> Claimed {
+/// Claims a key in the store. The request goes through the box that owns the key's shard; without a
+/// definite reply from it, or if this box is the owner, the claim is written directly.
+pub fn claim_key(node: &Node, workspace: &str, key: &str, nonce: &Name) -> ClaimResult {
     let request = pb::ClaimRequest {
         workspace: workspace.to_owned(),
         key: key.to_owned(),
@@ -209,71 +218,72 @@
         && let Ok(reply) = node.peers.claim(&owner.peer_addr, request.clone())
         && reply.status() != pb::ClaimStatus::ClaimUnknown
     {
-        return claimed_of(&reply);
+        return claim_result(&reply);
     }
-    // The update is the fence, so writing it here is as safe; asking again with the same nonce
-    // cannot take the key twice.
+    // The conditional update guards against concurrent writers, so writing the claim here is equally
+    // safe. Repeating a claim with the same nonce cannot take the key twice.
     write_claim(node, &request)
 }
 
-fn claimed_of(reply: &pb::ClaimReply) -> Claimed {
+fn claim_result(reply: &pb::ClaimReply) -> ClaimResult {
     match reply.status() {
-        pb::ClaimStatus::ClaimGranted => Claimed::Granted,
-        pb::ClaimStatus::ClaimTaken => Claimed::Taken(Incarnation {
+        pb::ClaimStatus::ClaimGranted => ClaimResult::Granted,
+        pb::ClaimStatus::ClaimTaken => ClaimResult::Taken(Incarnation {
             box_name: reply.holder_box.as_str().into(),
             number: reply.holder_incarnation,
         }),
-        _ => Claimed::NotWritten,
+        _ => ClaimResult::NotWritten,
     }
 }
 
-/// The reply to a peer that asked for a claim.
-pub fn claim_reply(claimed: &Claimed) -> pb::ClaimReply {
+/// Encodes the outcome of a claim as a reply to a peer.
+pub fn claim_reply(claimed: &ClaimResult) -> pb::ClaimReply {
     let status = match claimed {
-        Claimed::Granted => pb::ClaimStatus::ClaimGranted,
-        Claimed::Taken(_) => pb::ClaimStatus::ClaimTaken,
-        Claimed::NotWritten => pb::ClaimStatus::ClaimNotWritten,
+        ClaimResult::Granted => pb::ClaimStatus::ClaimGranted,
+        ClaimResult::Taken(_) => pb::ClaimStatus::ClaimTaken,
+        ClaimResult::NotWritten => pb::ClaimStatus::ClaimNotWritten,
     };
     let mut reply = pb::ClaimReply {
         status: status.into(),
         ..Default::default()
     };
-    if let Claimed::Taken(holder) = claimed {
+    if let ClaimResult::Taken(holder) = claimed {
         reply.holder_box = holder.box_name.to_string();
         reply.holder_incarnation = holder.number;
     }
     reply
 }
 
-/// Writes a claim into its shard's journal by conditional update.
-pub fn write_claim(node: &Node, request: &pb::ClaimRequest) -> Claimed {
+/// Writes a claim to the journal of its shard by conditional update.
+pub fn write_claim(node: &Node, request: &pb::ClaimRequest) -> ClaimResult {
     let shard = claim::shard(&request.workspace, &request.key);
-    let _one_at_a_time = lock(&node.once.writers[shard as usize]);
+    let _guard = lock(&node.once.journal_locks[shard as usize]);
     let object = format!("claims/{shard:04}");
-    let give_up_ms = node.clock.now_ms() + CLAIM_MS;
-    for _ in 0..CLAIM_ROUNDS {
-        if node.clock.now_ms() > give_up_ms {
+    let deadline_ms = node.clock.now_ms() + CLAIM_TIMEOUT_MS;
+    for _ in 0..MAX_CLAIM_ATTEMPTS {
+        if node.clock.now_ms() > deadline_ms {
             break;
         }
-        match claim_round(node, &object, request) {
+        match try_claim(node, &object, request) {
             Ok(Some(claimed)) => return claimed,
             Ok(None) => {}
             Err(ErrorKind::Unknown) => {}
-            Err(_) => return Claimed::NotWritten,
+            Err(_) => return ClaimResult::NotWritten,
         }
     }
-    Claimed::NotWritten
+    ClaimResult::NotWritten
 }
 
-/// One read and conditional write; none if it has to be done again.
-fn claim_round(
+/// Makes one attempt to read and conditionally write the journal. Returns `None` if another writer
+/// updated the journal in between.
+fn try_claim(
     node: &Node,
     object: &str,
     request: &pb::ClaimRequest,
-) -> Result<Option<Claimed>, ErrorKind> {
+) -> Result<Option<ClaimResult>, ErrorKind> {
     node.metrics.store_call("claim_read");
-    let held = node.claim_store.get(object).map_err(|e| e.kind())?;
-    let (mut journal, expect) = match &held {
+    let stored = node.claim_store.get(object).map_err(|e| e.kind())?;
+    let (mut journal, expect) = match &stored {
         None => (Journal::default(), Expect::Absent),
         Some(object) => {
             let journal = serde_json::from_slice(&object.body);
@@ -284,7 +294,7 @@
         }
     };
     let entry = Journal::entry_name(&request.workspace, &request.key);
-    let was_there = journal.claims.contains_key(&entry);
+    let already_claimed = journal.claims.contains_key(&entry);
     let claim = Claim {
         nonce: request.nonce.as_str().into(),
         holder: Incarnation {
@@ -293,12 +303,12 @@
         },
         at_ms: request.at_ms,
     };
-    let verdict = journal.claim(entry, claim);
-    let claimed = match verdict {
-        ClaimOutcome::Granted => Claimed::Granted,
-        ClaimOutcome::Taken(holder) => Claimed::Taken(holder),
+    let outcome = journal.claim(entry, claim);
+    let claimed = match outcome {
+        ClaimOutcome::Granted => ClaimResult::Granted,
+        ClaimOutcome::Taken(holder) => ClaimResult::Taken(holder),
     };
-    if was_there {
+    if already_claimed {
         return Ok(Some(claimed));
     }
     journal.remove_expired(Clock::epoch_ms());
@@ -316,8 +326,8 @@
 }
 
 impl Node {
-    /// This box's incarnation, as the opener of its sessions.
+    /// Returns this box's incarnation, as recorded in the sessions that it opens.
     pub fn opener(&self) -> Incarnation {
-        self.once.me.clone()
+        self.once.local.clone()
     }
 }
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -16,12 +16,12 @@
 use ivyweir_service::{HttpService, Service};
 
 use crate::clock::Clock;
-use crate::config::{BoxListState, ConfigState, Current};
+use crate::config::{BoxListState, ConfigSnapshot, ConfigState};
 use crate::gate::Gate;
+use crate::idempotency::IdempotencyKeys;
 use crate::learn::Learning;
 use crate::ledger::Ledger;
 use crate::metrics::Metrics;
-use crate::once::Once;
 use crate::rate::RatingQueue;
 use crate::settings::Settings;
 use crate::shards::lock;
@@ -68,7 +68,7 @@
     /// Billing.
     pub ledger: Ledger,
     /// Requests that run at most once.
-    pub once: Once,
+    pub once: IdempotencyKeys,
     members: Mutex<MemberTable>,
     live_boxes: AtomicU32,
     in_progress: AtomicUsize,
@@ -132,7 +132,7 @@
             learning: Learning::new(&me),
             ratings: RatingQueue::new(),
             ledger: Ledger::new(settings.limits.max_billing_bytes),
-            once: Once::new(&me),
+            once: IdempotencyKeys::new(&me),
             members: Mutex::new(table),
             live_boxes: AtomicU32::new(1),
             in_progress: AtomicUsize::new(0),
@@ -148,7 +148,7 @@
     }
 
     /// The configuration in force.
-    pub fn current(&self) -> Arc<Current> {
+    pub fn current(&self) -> Arc<ConfigSnapshot> {
         self.config.get()
     }
 
--- a/crates/ivyweird/src/peer_api.rs
+++ b/crates/ivyweird/src/peer_api.rs
@@ -7,7 +7,7 @@
 
 use crate::digest::Tell;
 use crate::node::Node;
-use crate::{digest, forward, once, spread};
+use crate::{digest, forward, idempotency, spread};
 
 /// Answers peers out of the box's state.
 pub struct PeerApi {
@@ -46,7 +46,7 @@
     }
 
     fn claim(&self, request: pb::ClaimRequest) -> pb::ClaimReply {
-        once::claim_reply(&once::write_claim(&self.node, &request))
+        idempotency::claim_reply(&idempotency::write_claim(&self.node, &request))
     }
 
     fn outcome(&self, request: pb::OutcomeRequest) -> pb::OutcomeReply {
--- a/crates/ivyweird/src/spread.rs
+++ b/crates/ivyweird/src/spread.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::{BoxState, Config, Operator, Role, SessionKey, hash};
 
 use crate::clock::Clock;
-use crate::config::Adoption;
+use crate::config::OfferOutcome;
 use crate::digest::{self, Lacking, Tell};
 use crate::gate::Moment;
 use crate::node::Node;
@@ -52,7 +52,7 @@
         let asked_ms = node.clock.now_ms();
         node.metrics.store_call("watch");
         match node.store.watch(CONFIG_OBJECT, seen_revision, WATCH_MS) {
-            Ok(Watched::Unchanged) => node.config.prove(seen_generation, Some(asked_ms)),
+            Ok(Watched::Unchanged) => node.config.record_proof(seen_generation, Some(asked_ms)),
             Ok(Watched::Absent) => create_first(node),
             Ok(Watched::Changed(object)) => {
                 seen_revision = object.revision;
@@ -66,10 +66,12 @@
 /// Takes in the store's configuration. Returns its generation.
 fn take_from_store(node: &Node, object: &Object, asked_ms: u64) -> u64 {
     match take_config(node, &object.body, Some(asked_ms)) {
-        Adoption::Older => repair_store(node, object.revision),
-        Adoption::Unreadable => log::error!("the store's configuration cannot be read"),
-        Adoption::Forked => log::error!("the store holds another configuration of this generation"),
-        Adoption::Adopted | Adoption::Same => {}
+        OfferOutcome::Older => repair_store(node, object.revision),
+        OfferOutcome::Invalid => log::error!("the store's configuration cannot be read"),
+        OfferOutcome::Forked => {
+            log::error!("the store holds another configuration of this generation")
+        }
+        OfferOutcome::Adopted | OfferOutcome::Unchanged => {}
     }
     Config::from_slice(&object.body).map_or(0, |c| c.generation)
 }
@@ -131,9 +133,9 @@
 }
 
 /// Offers a configuration to this box, wherever it comes from, and passes a new one on.
-pub fn take_config(node: &Node, body: &[u8], proof_ms: Option<u64>) -> Adoption {
+pub fn take_config(node: &Node, body: &[u8], proof_ms: Option<u64>) -> OfferOutcome {
     let adoption = node.config.offer(body, proof_ms);
-    if adoption == Adoption::Adopted {
+    if adoption == OfferOutcome::Adopted {
         let generation = node.config.generation();
         node.metrics.generation.record(generation, &[]);
         node.with_members(|table, _, _| table.set_generation(generation));
@@ -320,7 +322,7 @@
             let proof_ms = document
                 .proof_age_ms
                 .map(|age| now_ms.saturating_sub(u64::from(age)));
-            take_config(node, &document.body, proof_ms) == Adoption::Adopted
+            take_config(node, &document.body, proof_ms) == OfferOutcome::Adopted
         }
         BOX_LIST_DOCUMENT => take_box_list(node, &document.body),
         _ => false,
