--- a/crates/ivyweird/src/audit.rs
+++ b/crates/ivyweird/src/audit.rs
@@ -3,8 +3,8 @@
 use ivyweir_platform::{Expect, Result};
 use ivyweir_policy::{AuditEntry, Config};
 
+use crate::document_sync::CONFIG_OBJECT;
 use crate::node::Node;
-use crate::spread::CONFIG_OBJECT;
 
 const PREFIX: &str = "audit/";
 
--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -16,7 +16,7 @@
 /// A refusal.
 pub fn answer(context: &Context<'_>, request: &ChatRequest) -> Result<Reply, Refusal> {
     let route = route::find(context, request)?;
-    context.node.ledger.check_room()?;
+    context.node.ledger.check_available()?;
     let mut request = request.clone();
     request.stream = false;
     request.body.remove("stream");
--- a/crates/ivyweird/src/confirm.rs
+++ b/crates/ivyweird/src/confirm.rs
@@ -7,8 +7,8 @@
 
 use crate::clock::Clock;
 use crate::config::OfferOutcome;
+use crate::document_sync::{self, CONFIG_OBJECT};
 use crate::node::Node;
-use crate::spread::{self, CONFIG_OBJECT};
 use crate::{audit, config::ConfigSnapshot};
 
 /// Attempts to read and conditionally write before the outcome is reported as unknown.
@@ -59,7 +59,7 @@
         Ok(None) => return Attempt::Unknown("the store contains no configuration".into()),
         Err(e) => return Attempt::Unknown(e.to_string()),
     };
-    if spread::take_config(node, &object.body, None) == OfferOutcome::Older {
+    if document_sync::apply_config(node, &object.body, None) == OfferOutcome::Older {
         return Attempt::Unknown(
             "the stored configuration is older than this box's and is being repaired".into(),
         );
@@ -91,8 +91,8 @@
         .put(CONFIG_OBJECT, &body, Expect::Revision(revision))
     {
         Ok(PutOutcome::Written { .. }) => {
-            spread::take_config(node, &body, Some(node.clock.now_ms()));
-            spread::push_config(node);
+            document_sync::apply_config(node, &body, Some(node.clock.now_ms()));
+            document_sync::push_config(node);
             Attempt::Done(ConfirmReply::Applied {
                 generation: next.generation,
                 rebased: base.generation != plan.base_generation,
@@ -122,7 +122,7 @@
             generation: base.generation,
         };
     }
-    spread::push_config(node);
+    document_sync::push_config(node);
     let generation = base
         .audit
         .iter()
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -13,8 +13,8 @@
 use crate::config::ConfigSnapshot;
 use crate::gate::Moment;
 use crate::idempotency::{self, ClaimResult};
-use crate::learn::class_name;
 use crate::node::Node;
+use crate::version_stats::class_name;
 
 /// A request in progress.
 pub struct Context<'a> {
--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests: what this box tells its peers, and what it takes in of theirs.
+//! Gossip digests: encoding of this box's state for its peers, and merging of their digests.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -9,99 +9,100 @@
 use ivyweir_policy::quality::{CounterKey, CounterOwner, QualityCounts};
 
 use crate::gate::Moment;
-use crate::learn::{Tally, Verdict};
-use crate::loads;
+use crate::load_polling;
 use crate::node::Node;
+use crate::version_stats::{CounterRow, Verdict};
 
-/// Rounds for which a report that changed is told in every digest.
-const NEWS_ROUNDS: u64 = 3;
-/// Digests in which each unchanged report is told once.
-const TURNS: usize = 8;
-/// Rows of quality counters per digest.
-const TALLIES: usize = 8;
+/// Number of gossip rounds for which a changed load report is part of every digest.
+const CHANGED_REPORT_ROUNDS: u64 = 3;
+/// An unchanged load report is part of one out of this many digests.
+const UNCHANGED_REPORT_PERIOD: usize = 8;
+/// Maximum number of quality counter rows per digest.
+const MAX_COUNTER_ROWS: usize = 8;
 
-static TURN: AtomicUsize = AtomicUsize::new(0);
+/// Number of digests built so far; selects the part of the state that the next digest contains.
+static DIGEST_SEQ: AtomicUsize = AtomicUsize::new(0);
 
-/// What a digest showed of its sender, for the caller to act on.
+/// How the state of a digest's sender differs from this box's, for the caller to act on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Lacking {
+pub struct DigestDiff {
     /// The sender has a newer configuration.
-    pub config: bool,
+    pub has_newer_config: bool,
     /// The sender has a newer box list.
-    pub box_list: bool,
-    /// The sender knows other members than this box.
-    pub members: bool,
+    pub has_newer_box_list: bool,
+    /// The sender's member table differs.
+    pub members_differ: bool,
     /// The sender has an older configuration.
-    pub is_behind: bool,
-    /// The sender tells of loads with a version set that is not known here.
-    pub sets: bool,
+    pub has_older_config: bool,
+    /// A load report refers to a version set that this box does not know.
+    pub unknown_version_set: bool,
 }
 
-/// What a digest tells besides what it always does.
+/// The optional parts of a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Tell {
-    /// The full member records.
+pub struct DigestOptions {
+    /// Includes the full member records.
     pub members: bool,
-    /// The version sets.
-    pub sets: bool,
-    /// That a version set is not known here.
-    pub wants_sets: bool,
+    /// Includes the version sets.
+    pub version_sets: bool,
+    /// Asks the receiver for its version sets, because this box does not know one of them.
+    pub wants_version_sets: bool,
 }
 
-/// This box's digest.
-pub fn build(node: &Node, tell: Tell) -> pb::Digest {
+/// Builds a digest of this box's state.
+pub fn build(node: &Node, options: DigestOptions) -> pb::Digest {
     let now_ms = node.clock.now_ms();
     let current = node.current();
     let generation = current.config.generation;
-    let (members, beats, table_digest) = node.with_members(|table, timing, now_ms| {
-        let beats = table.heartbeats(timing, now_ms);
-        let full = if tell.members {
-            table.members().map(member_out).collect()
+    let (members, heartbeats, table_digest) = node.with_members(|table, timing, now_ms| {
+        let heartbeats = table.heartbeats(timing, now_ms);
+        let full = if options.members {
+            table.members().map(member_to_pb).collect()
         } else {
             vec![]
         };
-        (full, beats, table.digest())
+        (full, heartbeats, table.digest())
     });
-    let turn = TURN.fetch_add(1, Ordering::Relaxed);
+    let digest_seq = DIGEST_SEQ.fetch_add(1, Ordering::Relaxed);
     pb::Digest {
         r#box: node.me.box_name.to_string(),
         incarnation: node.me.number,
         members,
-        beat_ids: beats.iter().map(|b| b.member_id).collect(),
-        beat_counts: beats.iter().map(|b| b.heartbeat as u32).collect(),
-        beat_lags: beats
+        beat_ids: heartbeats.iter().map(|h| h.member_id).collect(),
+        beat_counts: heartbeats.iter().map(|h| h.heartbeat as u32).collect(),
+        beat_lags: heartbeats
             .iter()
-            .map(|b| lag(generation, b.generation))
+            .map(|h| generation_lag(generation, h.generation))
             .collect(),
-        marks: marks(node, generation, current.digest),
+        marks: document_marks(node, generation, current.digest),
         proof_age_ms: node
             .config
             .proof_age_ms(now_ms)
             .map(|age| age.min(u64::from(u32::MAX)) as u32),
-        loads: loads(node, now_ms, turn),
+        loads: loads_to_send(node, now_ms, digest_seq),
         tallies: node
             .learning
-            .tallies(TALLIES, turn)
+            .select_counters(MAX_COUNTER_ROWS, digest_seq)
             .into_iter()
-            .map(tally_out)
+            .map(counter_row_to_pb)
             .collect(),
         verdicts: node
             .learning
             .verdicts(now_ms)
             .into_iter()
-            .map(verdict_out)
+            .map(verdict_to_pb)
             .collect(),
         table_digest,
-        version_sets: if tell.sets {
-            version_sets(node)
+        version_sets: if options.version_sets {
+            version_sets_to_pb(node)
         } else {
             vec![]
         },
-        wants_sets: tell.wants_sets,
+        wants_sets: options.wants_version_sets,
     }
 }
 
-fn marks(node: &Node, generation: u64, digest: u64) -> Vec<pb::Mark> {
+fn document_marks(node: &Node, generation: u64, digest: u64) -> Vec<pb::Mark> {
     vec![
         pb::Mark {
             kind: CONFIG_DOCUMENT,
@@ -116,19 +117,21 @@
     ]
 }
 
-/// Load reports to tell: those that changed lately, and of the others a part that moves.
+/// Selects the load reports to send: all that changed recently, and a rotating part of the others.
 ///
-/// A report that says what the one before said is of little use, so it is told less often.
-fn loads(node: &Node, now_ms: u64, turn: usize) -> Vec<pb::Load> {
-    let news_ms = NEWS_ROUNDS * node.timing().period_ms;
-    let max_age_ms = 4 * loads::interval(node).as_millis() as u64 + news_ms;
+/// An unchanged report carries little information, so it is sent less often.
+fn loads_to_send(node: &Node, now_ms: u64, digest_seq: usize) -> Vec<pb::Load> {
+    let changed_window_ms = CHANGED_REPORT_ROUNDS * node.timing().period_ms;
+    let max_age_ms = 4 * load_polling::poll_interval(node).as_millis() as u64 + changed_window_ms;
     node.gate.read_upstreams(|u| {
         let report = &u.report;
         let age_ms = now_ms.saturating_sub(report.at_ms);
-        let is_news = now_ms.saturating_sub(u.report_changed_ms()) <= news_ms;
-        let in_turn = (u.id() as usize).wrapping_add(turn).is_multiple_of(TURNS);
-        let told = report.at_ms > 0 && age_ms <= max_age_ms && (is_news || in_turn);
-        told.then(|| pb::Load {
+        let changed_recently = now_ms.saturating_sub(u.report_changed_ms()) <= changed_window_ms;
+        let is_due = (u.id() as usize)
+            .wrapping_add(digest_seq)
+            .is_multiple_of(UNCHANGED_REPORT_PERIOD);
+        let is_sent = report.at_ms > 0 && age_ms <= max_age_ms && (changed_recently || is_due);
+        is_sent.then(|| pb::Load {
             upstream_id: u.id(),
             running: report.running,
             waiting: report.waiting,
@@ -139,8 +142,9 @@
     })
 }
 
-/// The version sets that upstreams have, told to who asks for them or knows no members yet.
-fn version_sets(node: &Node) -> Vec<pb::VersionSet> {
+/// Encodes the known version sets, for a peer that asks for them or for the first digest of this
+/// box.
+fn version_sets_to_pb(node: &Node) -> Vec<pb::VersionSet> {
     let sets = node.learning.version_sets();
     sets.iter()
         .map(|set| pb::VersionSet {
@@ -150,19 +154,19 @@
         .collect()
 }
 
-/// Reads told loads; whether a set among them is not known here.
+/// Merges version sets and load reports. Returns whether a report refers to an unknown version set.
 fn merge_loads(node: &Node, digest: &pb::Digest, now_ms: u64) -> bool {
     for set in &digest.version_sets {
         let names = set.versions.iter().map(|v| Name::from(v.as_str()));
-        node.learning.learn_set(names.collect());
+        node.learning.add_version_set(names.collect());
     }
-    let mut unknown = false;
+    let mut unknown_set = false;
     let reports: Vec<(u64, LoadReport)> = digest
         .loads
         .iter()
         .filter_map(|load| {
             let versions = node.learning.version_set(load.versions_id);
-            unknown |= versions.is_none();
+            unknown_set |= versions.is_none();
             let report = LoadReport {
                 running: load.running,
                 waiting: load.waiting,
@@ -178,67 +182,71 @@
         live_boxes: node.live_boxes(),
     };
     node.gate.report(reports, moment);
-    unknown
+    unknown_set
 }
 
-/// Takes in a peer's digest.
-pub fn merge(node: &Node, digest: &pb::Digest) -> Lacking {
+/// Merges a peer's digest. Returns how the peer's state differs.
+pub fn merge(node: &Node, digest: &pb::Digest) -> DigestDiff {
     let now_ms = node.clock.now_ms();
-    let mut lacking = merge_members(node, digest);
+    let mut diff = merge_members(node, digest);
     for mark in &digest.marks {
         match mark.kind {
             CONFIG_DOCUMENT => {
-                let held = merge_mark(node, digest, mark, now_ms);
-                lacking.config = mark.generation > held;
-                lacking.is_behind = mark.generation < held;
+                let local_generation = merge_config_mark(node, digest, mark, now_ms);
+                diff.has_newer_config = mark.generation > local_generation;
+                diff.has_older_config = mark.generation < local_generation;
             }
             BOX_LIST_DOCUMENT => {
-                lacking.box_list = mark.generation > node.box_list.get().generation;
+                diff.has_newer_box_list = mark.generation > node.box_list.get().generation;
             }
             _ => {}
         }
     }
-    lacking.sets = merge_loads(node, digest, now_ms);
+    diff.unknown_version_set = merge_loads(node, digest, now_ms);
     node.learning
-        .merge_tallies(digest.tallies.iter().map(tally_in));
+        .merge_counters(digest.tallies.iter().map(counter_row_from_pb));
     for verdict in &digest.verdicts {
-        node.learning.merge_verdict(verdict_in(verdict), now_ms);
+        node.learning
+            .merge_verdict(verdict_from_pb(verdict), now_ms);
     }
-    lacking
+    diff
 }
 
-fn merge_members(node: &Node, digest: &pb::Digest) -> Lacking {
+fn merge_members(node: &Node, digest: &pb::Digest) -> DigestDiff {
     node.with_members(|table, _, now_ms| {
         for member in &digest.members {
-            table.merge(member_in(member), now_ms);
+            table.merge(member_from_pb(member), now_ms);
         }
-        for beat in beats_in(digest) {
-            table.merge_heartbeat(beat, now_ms);
+        for heartbeat in heartbeats_from_pb(digest) {
+            table.merge_heartbeat(heartbeat, now_ms);
         }
-        Lacking {
-            members: table.digest() != digest.table_digest,
-            ..Lacking::default()
+        DigestDiff {
+            members_differ: table.digest() != digest.table_digest,
+            ..DigestDiff::default()
         }
     })
 }
 
-/// Uses the sender's proof if it holds here too. Returns the generation held here.
-fn merge_mark(node: &Node, digest: &pb::Digest, mark: &pb::Mark, now_ms: u64) -> u64 {
+/// Records the sender's proof if it applies to this box's configuration. Returns the generation of
+/// this box's configuration.
+fn merge_config_mark(node: &Node, digest: &pb::Digest, mark: &pb::Mark, now_ms: u64) -> u64 {
     let current = node.current();
-    let held = current.config.generation;
+    let local_generation = current.config.generation;
     assert!(
-        mark.generation != held || held == 0 || mark.digest == current.digest,
-        "invariant: one generation has one configuration (box {}, generation {held})",
+        mark.generation != local_generation
+            || local_generation == 0
+            || mark.digest == current.digest,
+        "invariant: one generation has one configuration (box {}, generation {local_generation})",
         digest.r#box,
     );
     let proof_ms = digest
         .proof_age_ms
         .map(|age| now_ms.saturating_sub(u64::from(age)));
     node.config.record_proof(mark.generation, proof_ms);
-    held
+    local_generation
 }
 
-fn member_out(record: &Member) -> pb::Member {
+fn member_to_pb(record: &Member) -> pb::Member {
     let (successor, successor_incarnation) = record.successor.clone().unwrap_or(("".into(), 0));
     pb::Member {
         r#box: record.name.to_string(),
@@ -253,7 +261,7 @@
     }
 }
 
-fn member_in(member: &pb::Member) -> Member {
+fn member_from_pb(member: &pb::Member) -> Member {
     let successor: Name = member.successor.as_str().into();
     Member {
         name: member.r#box.as_str().into(),
@@ -267,12 +275,14 @@
     }
 }
 
-fn lag(generation: u64, behind: u64) -> u32 {
-    generation.saturating_sub(behind).min(u64::from(u32::MAX)) as u32
+fn generation_lag(generation: u64, member_generation: u64) -> u32 {
+    generation
+        .saturating_sub(member_generation)
+        .min(u64::from(u32::MAX)) as u32
 }
 
-/// The heartbeats of a digest; a digest whose lists do not fit together has none.
-fn beats_in(digest: &pb::Digest) -> Vec<Heartbeat> {
+/// Decodes the heartbeats of a digest. Returns none if the lists differ in length.
+fn heartbeats_from_pb(digest: &pb::Digest) -> Vec<Heartbeat> {
     let count = digest.beat_ids.len();
     if digest.beat_counts.len() != count || digest.beat_lags.len() != count {
         return Vec::new();
@@ -284,43 +294,43 @@
         .max();
     let generation = generation.unwrap_or(0);
     (0..count)
-        .map(|at| Heartbeat {
-            member_id: digest.beat_ids[at],
-            heartbeat: u64::from(digest.beat_counts[at]),
-            generation: generation.saturating_sub(u64::from(digest.beat_lags[at])),
+        .map(|i| Heartbeat {
+            member_id: digest.beat_ids[i],
+            heartbeat: u64::from(digest.beat_counts[i]),
+            generation: generation.saturating_sub(u64::from(digest.beat_lags[i])),
         })
         .collect()
 }
 
-fn tally_out(tally: Tally) -> pb::Tally {
+fn counter_row_to_pb(row: CounterRow) -> pb::Tally {
     pb::Tally {
-        r#box: tally.by.box_name.to_string(),
-        incarnation: tally.by.incarnation,
-        version: tally.subject.version.to_string(),
-        class: tally.subject.class.to_string(),
-        rated: tally.count.rated,
-        score_milli: tally.count.score_milli,
-        score_square_milli: tally.count.score_square_milli,
-        done: tally.count.done,
-        failed: tally.count.failed,
-        window: tally.subject.window,
-        bucket: u32::from(tally.subject.bucket),
+        r#box: row.owner.box_name.to_string(),
+        incarnation: row.owner.incarnation,
+        version: row.key.version.to_string(),
+        class: row.key.class.to_string(),
+        rated: row.counts.rated,
+        score_milli: row.counts.score_milli,
+        score_square_milli: row.counts.score_square_milli,
+        done: row.counts.done,
+        failed: row.counts.failed,
+        window: row.key.window,
+        bucket: u32::from(row.key.bucket),
     }
 }
 
-fn tally_in(tally: &pb::Tally) -> Tally {
-    Tally {
-        subject: CounterKey {
+fn counter_row_from_pb(tally: &pb::Tally) -> CounterRow {
+    CounterRow {
+        key: CounterKey {
             version: tally.version.as_str().into(),
             class: tally.class.as_str().into(),
             bucket: tally.bucket.min(u32::from(u8::MAX)) as u8,
             window: tally.window,
         },
-        by: CounterOwner {
+        owner: CounterOwner {
             box_name: tally.r#box.as_str().into(),
             incarnation: tally.incarnation,
         },
-        count: QualityCounts {
+        counts: QualityCounts {
             rated: tally.rated,
             score_milli: tally.score_milli,
             score_square_milli: tally.score_square_milli,
@@ -330,19 +340,19 @@
     }
 }
 
-fn verdict_out(verdict: Verdict) -> pb::Verdict {
+fn verdict_to_pb(verdict: Verdict) -> pb::Verdict {
     pb::Verdict {
-        r#box: verdict.by.box_name.to_string(),
-        incarnation: verdict.by.incarnation,
+        r#box: verdict.reporter.box_name.to_string(),
+        incarnation: verdict.reporter.incarnation,
         version: verdict.version.to_string(),
         bad: verdict.bad,
         seq: verdict.seq,
     }
 }
 
-fn verdict_in(verdict: &pb::Verdict) -> Verdict {
+fn verdict_from_pb(verdict: &pb::Verdict) -> Verdict {
     Verdict {
-        by: CounterOwner {
+        reporter: CounterOwner {
             box_name: verdict.r#box.as_str().into(),
             incarnation: verdict.incarnation,
         },
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -11,7 +11,7 @@
 use crate::confirm;
 use crate::lease::Lease;
 use crate::node::Node;
-use crate::{bill, spread};
+use crate::{bill, document_sync};
 
 const POLL: Duration = Duration::from_millis(100);
 /// Time between two merges of billing segments.
@@ -136,7 +136,7 @@
         return;
     }
     let intent = Intent::RotateSessionKey {
-        key: spread::new_session_key(),
+        key: document_sync::new_session_key(),
         // A token is signed by a key that was the newest, for at most one rotation after its making.
         drop_before_ms: now_ms.saturating_sub(2 * limits.session_key_ms + limits.session_ms),
     };
--- a/crates/ivyweird/src/forward.rs
+++ b/crates/ivyweird/src/forward.rs
@@ -9,9 +9,9 @@
 
 use crate::caller_api::{self, Parsed};
 use crate::context::Context;
-use crate::idempotency::ExecutionPermit;
+use crate::document_sync;
+use crate::idempotency::ExecutionDecision;
 use crate::node::Node;
-use crate::spread;
 
 /// Says that a request was forwarded; a second forward is refused.
 const FORWARDED: &str = "X-Ivyweir-Forwarded";
@@ -28,15 +28,15 @@
     let mine = opener == node.opener();
     let permit = node.once.begin(&opener, &entry);
     match permit {
-        ExecutionPermit::Run => run_and_keep(context, &entry, run),
-        ExecutionPermit::Completed(reply) => Ok(reply),
-        ExecutionPermit::Forward(successor) => send(context, parsed, &successor),
-        ExecutionPermit::Refused(refusal) if mine => Err(refusal),
-        ExecutionPermit::Refused(refusal) if refusal.code == Code::SessionLost => {
+        ExecutionDecision::Run => run_and_keep(context, &entry, run),
+        ExecutionDecision::Completed(reply) => Ok(reply),
+        ExecutionDecision::Forward(successor) => send(context, parsed, &successor),
+        ExecutionDecision::Refused(refusal) if mine => Err(refusal),
+        ExecutionDecision::Refused(refusal) if refusal.code == Code::SessionLost => {
             let holder = holder(node, &opener).ok_or(refusal)?;
             send(context, parsed, &holder)
         }
-        ExecutionPermit::Refused(refusal) => Err(refusal),
+        ExecutionDecision::Refused(refusal) => Err(refusal),
     }
 }
 
@@ -100,7 +100,7 @@
     if *holder == context.node.opener() || parsed.header(FORWARDED).is_some() {
         return Err(lost());
     }
-    let addr = spread::authority_addr(context.node, &holder.box_name, holder.number);
+    let addr = document_sync::incarnation_addr(context.node, &holder.box_name, holder.number);
     let addr = addr.ok_or_else(lost)?;
     let mut headers: Vec<pb::Header> = parsed.headers.iter().map(header_out).collect();
     headers.push(pb::Header {
--- a/crates/ivyweird/src/idempotency.rs
+++ b/crates/ivyweird/src/idempotency.rs
@@ -28,9 +28,9 @@
 
 /// How to proceed with a request that runs at most once.
 #[derive(Debug)]
-pub enum ExecutionPermit {
-    /// Execute the request, then call [`IdempotencyKeys::finish`], [`IdempotencyKeys::mark_lost`] or
-    /// [`IdempotencyKeys::release`].
+pub enum ExecutionDecision {
+    /// Execute the request, then call [`IdempotencyKeys::finish`], [`IdempotencyKeys::mark_lost`]
+    /// or [`IdempotencyKeys::release`].
     Run,
     /// The request has already run and produced this reply.
     Completed(Reply),
@@ -70,18 +70,18 @@
 
     /// Requests to execute `key`. `opener` is the box that opened the session, or this box for a
     /// request without a session.
-    pub fn begin(&self, opener: &Incarnation, key: &Name) -> ExecutionPermit {
+    pub fn begin(&self, opener: &Incarnation, key: &Name) -> ExecutionDecision {
         match self.shards.of(key).authority.begin(opener, key) {
-            BeginOutcome::Run => ExecutionPermit::Run,
-            BeginOutcome::Completed(reply) => ExecutionPermit::Completed(reply),
-            BeginOutcome::Running => ExecutionPermit::Refused(Refusal::unknown(
+            BeginOutcome::Run => ExecutionDecision::Run,
+            BeginOutcome::Completed(reply) => ExecutionDecision::Completed(reply),
+            BeginOutcome::Running => ExecutionDecision::Refused(Refusal::unknown(
                 Code::Duplicate,
                 "the request with this key is still running",
             )),
-            BeginOutcome::Lost => ExecutionPermit::Refused(lost()),
-            BeginOutcome::HandedOver(Some(successor)) => ExecutionPermit::Forward(successor),
+            BeginOutcome::Lost => ExecutionDecision::Refused(lost()),
+            BeginOutcome::HandedOver(Some(successor)) => ExecutionDecision::Forward(successor),
             BeginOutcome::HandedOver(None) | BeginOutcome::NotAuthority => {
-                ExecutionPermit::Refused(Refusal::unknown(
+                ExecutionDecision::Refused(Refusal::unknown(
                     Code::SessionLost,
                     "the box that opened the session is gone; open a new session",
                 ))
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Records the reply of a key that this box executed. A reply above the size limit is not cached.
+    /// Records the reply of a key that this box executed. A reply above the size limit is not
+    /// cached.
     pub fn finish(&self, key: &Name, reply: &Reply) {
         let mut shard = self.shards.of(key);
         if reply.body.len() > MAX_REPLY_BYTES {
@@ -115,8 +116,8 @@
         self.shards.of(key).authority.release(key);
     }
 
-    /// Stops accepting new keys. Returns the final successor and the keys used so far, which are to be
-    /// handed over to it.
+    /// Stops accepting new keys. Returns the final successor and the keys used so far, which are to
+    /// be handed over to it.
     pub fn freeze(&self, successor: Option<Incarnation>) -> (Option<Incarnation>, Vec<Name>) {
         let mut chosen = successor;
         let mut used = Vec::new();
@@ -220,8 +221,8 @@
     {
         return claim_result(&reply);
     }
-    // The conditional update guards against concurrent writers, so writing the claim here is equally
-    // safe. Repeating a claim with the same nonce cannot take the key twice.
+    // The conditional update guards against concurrent writers, so writing the claim here is
+    // equally safe. Repeating a claim with the same nonce cannot take the key twice.
     write_claim(node, &request)
 }
 
--- a/crates/ivyweird/src/lease.rs
+++ b/crates/ivyweird/src/lease.rs
@@ -1,8 +1,8 @@
 //! Leases in the store, with a holder and an epoch, that do not depend on synchronised clocks.
 //!
-//! The holder renews its lease by conditional update and stops acting on it, by its own clock, before
-//! another box may take over. Another box takes over once it has observed the same revision for the
-//! whole term by its own clock.
+//! The holder renews its lease by conditional update and stops acting on it, by its own clock,
+//! before another box may take over. Another box takes over once it has observed the same revision
+//! for the whole term by its own clock.
 
 use ivyweir_platform::{Expect, ObjectStore, PutOutcome};
 use ivyweir_policy::claim::Incarnation;
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Returns whether this box holds the lease. Must be checked immediately before each action that
-    /// the lease protects.
+    /// Returns whether this box holds the lease. Must be checked immediately before each action
+    /// that the lease protects.
     pub fn is_held(&self, now_ms: u64) -> bool {
         now_ms < self.held_until_ms
     }
--- a/crates/ivyweird/src/ledger.rs
+++ b/crates/ivyweird/src/ledger.rs
@@ -1,6 +1,7 @@
-//! Billing on this box: its records until they are in the store, and those held for other boxes.
+//! In-memory billing records: those of this box until they are in the store, and copies held for
+//! other boxes.
 //!
-//! `replica` makes them safe on another box, `segments` writes them to the store.
+//! `replica` copies this box's records to another box; `segments` writes records to the store.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Mutex;
@@ -16,75 +17,82 @@
 use crate::segments::Flush;
 use crate::shards::lock;
 
-/// Longest time that the end of an answer waits for its record to be safe.
-const SAFE_WAIT: Duration = Duration::from_secs(8);
-/// Records of other boxes that are held at most.
+/// Maximum time that the end of an answer waits for its record to become durable, that is,
+/// replicated or stored.
+const DURABILITY_TIMEOUT: Duration = Duration::from_secs(8);
+/// Maximum number of records held for other boxes.
 const MAX_HELD_RECORDS: usize = 200_000;
 
-/// Records of this box and of others.
+/// Billing records of this box and of others.
 pub struct Ledger {
     pub(crate) buffer: Mutex<RecordBuffer>,
-    waiting: Sender<Waiting>,
-    pub(crate) queue: Receiver<Waiting>,
+    waiter_sender: Sender<DurabilityWaiter>,
+    pub(crate) waiters: Receiver<DurabilityWaiter>,
+    /// Records held for other boxes, by owner and sequence number.
     pub(crate) held: Mutex<HashMap<Incarnation, BTreeMap<u64, Record>>>,
-    /// Whether the newest record could be made safe.
+    /// Whether the last attempt to make the pending records durable succeeded.
     pub(crate) healthy: AtomicBool,
-    pub(crate) flushing: Mutex<Option<Flush>>,
-    /// Addresses of the boxes that hold records of this one.
+    /// The segment whose write is not confirmed yet.
+    pub(crate) pending_flush: Mutex<Option<Flush>>,
+    /// Peer addresses of the boxes that may hold records of this one.
     pub(crate) holders: Mutex<BTreeSet<Name>>,
 }
 
-/// A record whose answer waits for it to be safe.
-pub(crate) struct Waiting {
+/// An answer that waits for its record to become durable.
+pub(crate) struct DurabilityWaiter {
     pub(crate) seq: u64,
-    pub(crate) done: Sender<()>,
+    pub(crate) notify: Sender<()>,
 }
 
 impl Ledger {
-    /// An empty ledger that takes up to `max_bytes` of its own records.
+    /// Creates an empty ledger that accepts up to `max_bytes` of this box's own records.
     pub fn new(max_bytes: usize) -> Self {
-        let (waiting, queue) = unbounded();
+        let (waiter_sender, waiters) = unbounded();
         Self {
             buffer: Mutex::new(RecordBuffer::new(max_bytes)),
-            waiting,
-            queue,
+            waiter_sender,
+            waiters,
             held: Mutex::new(HashMap::new()),
             healthy: AtomicBool::new(true),
-            flushing: Mutex::new(None),
+            pending_flush: Mutex::new(None),
             holders: Mutex::new(BTreeSet::new()),
         }
     }
 
-    /// Whether one more request can be billed.
+    /// Checks that one more request can be billed.
     ///
     /// # Errors
     ///
-    /// A refusal when records cannot be made safe now, or there is no room for more.
-    pub fn check_room(&self) -> Result<(), Refusal> {
+    /// Refuses when the last attempt to make records durable failed, or when the buffer is full.
+    pub fn check_available(&self) -> Result<(), Refusal> {
         if lock(&self.buffer).has_room() && self.healthy.load(Ordering::Relaxed) {
             return Ok(());
         }
-        let refusal = Refusal::not_run(Code::BillingUnavailable, "no room for billing records");
-        Err(refusal.with_retry_after(ROOM_HINT_MS))
+        let refusal = Refusal::not_run(
+            Code::BillingUnavailable,
+            "billing records cannot be buffered or made durable at present",
+        );
+        Err(refusal.with_retry_after(RETRY_AFTER_MS))
     }
 
     /// Adds a record and waits until it is in the store or on another box.
     ///
-    /// Returns false when that took too long; the record stays and is written later.
+    /// Returns `false` on a time-out; the record stays in the buffer and is written later.
     pub fn record(&self, record: Record) -> bool {
         let seq = lock(&self.buffer).push(record);
-        let (done, is_done) = bounded(1);
-        let sent = self.waiting.send(Waiting { seq, done });
+        let (notify, notified) = bounded(1);
+        let sent = self.waiter_sender.send(DurabilityWaiter { seq, notify });
         sent.expect("the queue lives as long as the ledger");
-        is_done.recv_timeout(SAFE_WAIT).is_ok()
+        notified.recv_timeout(DURABILITY_TIMEOUT).is_ok()
     }
 
-    /// Records of this box that are not in the store.
+    /// Returns the number of this box's records that are not known to be in the store.
     pub fn pending(&self) -> usize {
         lock(&self.buffer).len()
     }
 
-    /// Holds another box's records. Returns whether there is room.
+    /// Holds copies of another box's records. Returns `false` if there are too many or if one is
+    /// not valid.
     pub fn hold(&self, request: pb::HoldRequest) -> bool {
         let from = Incarnation {
             box_name: request.r#box.as_str().into(),
@@ -108,7 +116,7 @@
         true
     }
 
-    /// Lets go of records that are in the store.
+    /// Drops held records that are in the store.
     pub fn release(&self, request: &pb::ReleaseRequest) {
         let from = Incarnation {
             box_name: request.r#box.as_str().into(),
@@ -124,4 +132,4 @@
     }
 }
 
-const ROOM_HINT_MS: u64 = 2_000;
+const RETRY_AFTER_MS: u64 = 2_000;
--- a/crates/ivyweird/src/lib.rs
+++ b/crates/ivyweird/src/lib.rs
@@ -21,14 +21,14 @@
 mod confirm;
 mod context;
 mod digest;
+mod document_sync;
 mod duties;
 mod forward;
 mod gate;
 mod idempotency;
-mod learn;
 mod lease;
 mod ledger;
-mod loads;
+mod load_polling;
 mod logging;
 mod metrics;
 mod node;
@@ -43,9 +43,9 @@
 mod session;
 mod settings;
 mod shards;
-mod spread;
 mod stop;
 mod stream;
+mod version_stats;
 
 use std::io;
 use std::sync::Arc;
@@ -132,12 +132,12 @@
 }
 
 fn start_duties(node: &Arc<Node>) -> io::Result<Vec<JoinHandle<()>>> {
-    let round = Arc::new(loads::Round::new());
+    let round = Arc::new(load_polling::PollQueue::new());
     let mut duties = vec![
-        start("exchange", node, spread::exchange_rounds)?,
-        start("watch-config", node, spread::watch_config)?,
-        start("watch-boxes", node, spread::watch_boxes)?,
-        start("push", node, spread::push_changes)?,
+        start("exchange", node, document_sync::run_exchanges)?,
+        start("watch-config", node, document_sync::watch_config)?,
+        start("watch-boxes", node, document_sync::poll_box_list)?,
+        start("push", node, document_sync::push_changes)?,
         start("replicate", node, replica::replicate)?,
         start("flush", node, flush_rounds)?,
         start("duties", node, duties::run)?,
@@ -145,12 +145,12 @@
     ];
     let plan = round.clone();
     duties.push(start("plan-loads", node, move |node| {
-        loads::plan_rounds(node, &plan)
+        load_polling::schedule_polls(node, &plan)
     })?);
-    for _ in 0..loads::THREADS {
+    for _ in 0..load_polling::THREAD_COUNT {
         let round = round.clone();
         duties.push(start("ask-loads", node, move |node| {
-            loads::ask(node, &round)
+            load_polling::poll_upstreams(node, &round)
         })?);
     }
     Ok(duties)
@@ -175,7 +175,7 @@
         // A store that is out gets the same segment in the next round.
         let _next_round = segments::flush(node);
         segments::settle_for_others(node);
-        node.learning.forget(clock::Clock::epoch_ms());
+        node.learning.remove_expired(clock::Clock::epoch_ms());
         node.metrics
             .billing_pending
             .record(node.ledger.pending() as u64, &[]);
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -19,12 +19,12 @@
 use crate::config::{BoxListState, ConfigSnapshot, ConfigState};
 use crate::gate::Gate;
 use crate::idempotency::IdempotencyKeys;
-use crate::learn::Learning;
 use crate::ledger::Ledger;
 use crate::metrics::Metrics;
 use crate::rate::RatingQueue;
 use crate::settings::Settings;
 use crate::shards::lock;
+use crate::version_stats::VersionStats;
 
 /// Time for one call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -62,7 +62,7 @@
     /// Upstreams and the queues before them.
     pub gate: Gate,
     /// Quality estimates and verdicts.
-    pub learning: Learning,
+    pub learning: VersionStats,
     /// Answers to be rated.
     pub ratings: RatingQueue,
     /// Billing.
@@ -129,7 +129,7 @@
             rater,
             peers: Client::new(settings.fleet_key())?,
             gate: Gate::new(&settings),
-            learning: Learning::new(&me),
+            learning: VersionStats::new(&me),
             ratings: RatingQueue::new(),
             ledger: Ledger::new(settings.limits.max_billing_bytes),
             once: IdempotencyKeys::new(&me),
--- a/crates/ivyweird/src/peer_api.rs
+++ b/crates/ivyweird/src/peer_api.rs
@@ -5,9 +5,9 @@
 use ivyweir_peer::{Peer, pb};
 use ivyweir_policy::claim::{Incarnation, Journal};
 
-use crate::digest::Tell;
+use crate::digest::DigestOptions;
 use crate::node::Node;
-use crate::{digest, forward, idempotency, spread};
+use crate::{digest, document_sync, forward, idempotency};
 
 /// Answers peers out of the box's state.
 pub struct PeerApi {
@@ -17,24 +17,24 @@
 
 impl Peer for PeerApi {
     fn exchange(&self, digest: pb::Digest) -> pb::Digest {
-        let lacking = digest::merge(&self.node, &digest);
+        let diff = digest::merge(&self.node, &digest);
         // What is newer at the sender is fetched in this box's own next round with it.
-        let tell = Tell {
-            members: lacking.members,
-            sets: digest.wants_sets,
-            wants_sets: lacking.sets,
+        let options = DigestOptions {
+            members: diff.members_differ,
+            version_sets: digest.wants_sets,
+            wants_version_sets: diff.unknown_version_set,
         };
-        let answer = digest::build(&self.node, tell);
-        spread::count_bytes(&self.node, [&digest, &answer]);
+        let answer = digest::build(&self.node, options);
+        document_sync::record_digest_bytes(&self.node, [&digest, &answer]);
         answer
     }
 
     fn push(&self, document: pb::Document) -> bool {
-        spread::take_document(&self.node, &document)
+        document_sync::apply_document(&self.node, &document)
     }
 
     fn fetch(&self, request: pb::FetchRequest) -> pb::Document {
-        spread::give_document(&self.node, &request)
+        document_sync::document_reply(&self.node, &request)
     }
 
     fn hold(&self, request: pb::HoldRequest) -> bool {
--- a/crates/ivyweird/src/rate.rs
+++ b/crates/ivyweird/src/rate.rs
@@ -6,8 +6,8 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 
 use crate::clock::Clock;
-use crate::learn::Observation;
 use crate::node::Node;
+use crate::version_stats::Observation;
 
 /// Samples that wait; with a slow rating service later ones are dropped.
 const MAX_WAITING: usize = 32;
@@ -72,12 +72,15 @@
         };
         node.metrics.ratings.add(1, &[]);
         let epoch_ms = Clock::epoch_ms();
-        let changed = node
-            .learning
-            .rated(&sample.observation, score, sample.expected, epoch_ms);
+        let changed =
+            node.learning
+                .record_rating(&sample.observation, score, sample.expected, epoch_ms);
         if changed {
             node.metrics.verdict_changes.add(1, &[]);
-            log::warn!("ratings changed the verdict on {}", sample.observation.at);
+            log::warn!(
+                "ratings changed the verdict on {}",
+                sample.observation.version
+            );
         }
     }
 }
--- a/crates/ivyweird/src/run.rs
+++ b/crates/ivyweird/src/run.rs
@@ -11,8 +11,8 @@
 use crate::clock::Clock;
 use crate::context::Context;
 use crate::gate::{Ask, Held};
-use crate::learn::Observation;
 use crate::rate::Sample;
+use crate::version_stats::Observation;
 
 /// Tries per call to a version.
 pub const MAX_TRIES: usize = 3;
@@ -111,7 +111,7 @@
 /// Counts a call and learns from it; only what a version itself can cause speaks against it.
 pub fn learn(context: &Context<'_>, observation: &Observation, fault: Option<Fault>) {
     let node = context.node;
-    let version = observation.at.to_string();
+    let version = observation.version.to_string();
     let outcome = match fault {
         None => "ok",
         Some(Fault::Unreachable) => "unreachable",
@@ -129,7 +129,7 @@
     );
     if speaks {
         let (epoch_ms, now_ms) = (Clock::epoch_ms(), node.clock.now_ms());
-        if node.learning.finished(observation, epoch_ms) {
+        if node.learning.record_answer(observation, epoch_ms) {
             node.metrics.verdict_changes.add(1, &[]);
             let verdict = if node.learning.is_bad(&version, now_ms) {
                 "bad"
@@ -193,7 +193,7 @@
 /// What is learnt from a call, before it is known how it ended.
 pub fn observation(context: &Context<'_>, at: &VersionRef, held: &Held<'_>) -> Observation {
     Observation {
-        at: at.clone(),
+        version: at.clone(),
         class: context.class.clone(),
         bucket: confidence_bucket(NO_CONFIDENCE),
         upstream: held.upstream.name.clone(),
--- a/crates/ivyweird/src/segments.rs
+++ b/crates/ivyweird/src/segments.rs
@@ -27,7 +27,7 @@
 ///
 /// Returns up to which record they are in the store; none if the store does not say.
 pub fn flush(node: &Node) -> Option<u64> {
-    let mut flushing = lock(&node.ledger.flushing);
+    let mut flushing = lock(&node.ledger.pending_flush);
     loop {
         if flushing.is_none() {
             *flushing = next_flush(node);
@@ -157,7 +157,7 @@
 
 fn pass_on_own(node: &Node) -> bool {
     let mut replica = Replica {
-        at: choose_replica(node, None),
+        member: choose_replica(node, None),
         through_seq: 0,
     };
     send_pending(node, &mut replica).is_some()
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -41,7 +41,7 @@
     let not_found = || Refusal::not_run(Code::NotFound, "no such service");
     let (pool, path) = split_path(&parsed.path_and_query).ok_or_else(not_found)?;
     check_allowed(context, pool)?;
-    context.node.ledger.check_room()?;
+    context.node.ledger.check_available()?;
     let call = ivyweir_service::Call {
         method: parsed.method.clone(),
         path_and_query: path,
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -42,7 +42,7 @@
 /// Answers a request with a stream. Returns how it ended, for the count.
 pub fn answer(context: &Context<'_>, request: &ChatRequest, incoming: Incoming) -> &'static str {
     let found = route::find(context, request);
-    let ready = found.and_then(|route| context.node.ledger.check_room().map(|()| route));
+    let ready = found.and_then(|route| context.node.ledger.check_available().map(|()| route));
     match ready {
         Ok(route) => Live::new(context, request, &route, incoming).run(),
         Err(refusal) => {
