--- a/crates/ivyweird/src/version_stats.rs
+++ b/crates/ivyweird/src/version_stats.rs
@@ -13,7 +13,8 @@
 
 use crate::shards::lock;
 
-/// Time after which another box's verdict expires.
+/// Time after receipt at which another box's verdict expires, so that the verdict of a box that no
+/// longer reports does not stay in effect.
 const VERDICT_TTL_MS: u64 = 120_000;
 
 /// One box's verdict on one version.
