--- a/crates/ivyweird/src/chat.rs
+++ b/crates/ivyweird/src/chat.rs
@@ -16,7 +16,7 @@
 /// Returns a refusal if the request was not answered or could not be billed.
 pub fn answer(context: &Context<'_>, request: &ChatRequest) -> Result<Reply, Refusal> {
     let route = route::find(context, request)?;
-    context.node.ledger.check_room()?;
+    context.node.ledger.check_available()?;
     let mut request = request.clone();
     request.stream = false;
     request.body.remove("stream");
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -10,17 +10,17 @@
 use ivyweir_policy::{Code, ErrorKind, Name, Refusal, VersionRef};
 
 use crate::clock::Clock;
-use crate::config::Current;
+use crate::config::ConfigSnapshot;
 use crate::dispatcher::FleetSnapshot;
-use crate::learn::class_name;
+use crate::idempotency::{self, ClaimResult};
 use crate::node::Node;
-use crate::once::{self, Claimed};
+use crate::version_stats::class_name;
 
 /// Context of a request in progress.
 pub struct Context<'a> {
     pub node: &'a Node,
     /// Configuration at the time the request arrived.
-    pub current: Arc<Current>,
+    pub current: Arc<ConfigSnapshot>,
     /// The caller's workspace.
     pub workspace: Name,
     /// Options that the caller set in headers.
@@ -188,9 +188,9 @@
             Some(session) => format!("s/{}", session.nonce).into(),
             None => self.node.unique_name(),
         };
-        match once::claim_key(self.node, &self.workspace, &self.key, &nonce) {
-            Claimed::Granted => Ok(()),
-            Claimed::Taken(holder) => {
+        match idempotency::claim_key(self.node, &self.workspace, &self.key, &nonce) {
+            ClaimResult::Granted => Ok(()),
+            ClaimResult::Taken(holder) => {
                 let text = format!(
                     "the idempotency key was already used on box {}",
                     holder.box_name
@@ -199,8 +199,8 @@
                 Err(Refusal::unknown(Code::Duplicate, text))
             }
             // While the store is unavailable, the session's authority is sufficient.
-            Claimed::NotWritten if self.session.is_some() => Ok(()),
-            Claimed::NotWritten => {
+            ClaimResult::NotWritten if self.session.is_some() => Ok(()),
+            ClaimResult::NotWritten => {
                 let text =
                     "the claim could not be written; use a session to continue without the store";
                 let refusal = Refusal::not_run(Code::ClaimUnavailable, text);
@@ -212,7 +212,7 @@
 
 const CLAIM_RETRY_AFTER_MS: u64 = 2_000;
 
-fn authenticate(current: &Current, options: &RequestMetadata) -> Result<Name, Refusal> {
+fn authenticate(current: &ConfigSnapshot, options: &RequestMetadata) -> Result<Name, Refusal> {
     let unauthenticated = |text| Refusal::not_run(Code::Unauthenticated, text);
     let key = options
         .caller_key
@@ -225,7 +225,11 @@
         .ok_or_else(|| unauthenticated("Authorization: no workspace has this key"))
 }
 
-fn verify_session(current: &Current, token: &str, workspace: &str) -> Result<Session, Refusal> {
+fn verify_session(
+    current: &ConfigSnapshot,
+    token: &str,
+    workspace: &str,
+) -> Result<Session, Refusal> {
     let keys = &current.config.session_keys;
     Session::from_signed_token(token, keys, workspace, Clock::epoch_ms()).map_err(|e| {
         let code = match e.kind() {
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -12,7 +12,7 @@
 use crate::confirm;
 use crate::lease::Lease;
 use crate::node::Node;
-use crate::{bill, spread};
+use crate::{bill, document_sync};
 
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two merges of billing segments.
@@ -31,7 +31,7 @@
         if node.is_draining() || !(held || is_standby(node)) {
             continue;
         }
-        lease.tend(node.store.as_ref(), || node.clock.now_ms());
+        lease.renew_or_acquire(node.store.as_ref(), || node.clock.now_ms());
         let now_ms = node.clock.now_ms();
         if lease.is_held(now_ms) != held {
             held = !held;
@@ -82,7 +82,7 @@
             continue;
         };
         if lease.is_held(node.clock.now_ms()) {
-            confirm::apply_own(node, &current, intent);
+            confirm::apply_system_change(node, &current, intent);
         }
     }
 }
@@ -141,9 +141,9 @@
         return;
     }
     let intent = Intent::RotateSessionKey {
-        key: spread::new_session_key(),
+        key: document_sync::new_session_key(),
         // A key signs tokens only while it is the newest one, at most one rotation after its creation.
         drop_before_ms: now_ms.saturating_sub(2 * limits.session_key_ms + limits.session_ms),
     };
-    confirm::apply_own(node, &current, intent);
+    confirm::apply_system_change(node, &current, intent);
 }
--- a/crates/ivyweird/src/engine_call.rs
+++ b/crates/ivyweird/src/engine_call.rs
@@ -11,8 +11,8 @@
 use crate::clock::Clock;
 use crate::context::Context;
 use crate::dispatcher::{DispatchRequest, Reservation};
-use crate::learn::Observation;
 use crate::rating::Sample;
+use crate::version_stats::Observation;
 
 /// Maximum number of attempts for one call to a version.
 pub const MAX_ATTEMPTS: usize = 3;
@@ -118,7 +118,7 @@
 /// The statistics skip faults that a version cannot cause: unreachable, busy and rejected.
 pub fn record_outcome(context: &Context<'_>, observation: &Observation, fault: Option<Fault>) {
     let node = context.node;
-    let version = observation.at.to_string();
+    let version = observation.version.to_string();
     let outcome = match fault {
         None => "ok",
         Some(Fault::Unreachable) => "unreachable",
@@ -136,7 +136,7 @@
     );
     if is_attributable {
         let (epoch_ms, now_ms) = (Clock::epoch_ms(), node.clock.now_ms());
-        if node.learning.finished(observation, epoch_ms) {
+        if node.learning.record_answer(observation, epoch_ms) {
             node.metrics.verdict_changes.add(1, &[]);
             let verdict = if node.learning.is_bad(&version, now_ms) {
                 "bad"
@@ -208,7 +208,7 @@
     reservation: &Reservation<'_>,
 ) -> Observation {
     Observation {
-        at: version.clone(),
+        version: version.clone(),
         class: context.class.clone(),
         bucket: confidence_bucket(DEFAULT_CONFIDENCE),
         upstream: reservation.upstream.name.clone(),
--- a/crates/ivyweird/src/forward.rs
+++ b/crates/ivyweird/src/forward.rs
@@ -9,9 +9,9 @@
 
 use crate::caller_api::{self, ParsedRequest};
 use crate::context::Context;
+use crate::document_sync;
+use crate::idempotency::ExecutionDecision;
 use crate::node::Node;
-use crate::once::Permit;
-use crate::spread;
 
 /// Header that marks a forwarded request. A forwarded request is not forwarded again.
 const FORWARDED_HEADER: &str = "X-Ivyweir-Forwarded";
@@ -28,15 +28,15 @@
     let is_local = opener == node.opener();
     let permit = node.idempotency.begin(&opener, &entry_name);
     match permit {
-        Permit::Run => run_and_store(context, &entry_name, run),
-        Permit::Kept(reply) => Ok(reply),
-        Permit::Elsewhere(successor) => forward_to(context, parsed, &successor),
-        Permit::Refused(refusal) if is_local => Err(refusal),
-        Permit::Refused(refusal) if refusal.code == Code::SessionLost => {
+        ExecutionDecision::Run => run_and_store(context, &entry_name, run),
+        ExecutionDecision::Completed(reply) => Ok(reply),
+        ExecutionDecision::Forward(successor) => forward_to(context, parsed, &successor),
+        ExecutionDecision::Refused(refusal) if is_local => Err(refusal),
+        ExecutionDecision::Refused(refusal) if refusal.code == Code::SessionLost => {
             let authority = session_authority(node, &opener).ok_or(refusal)?;
             forward_to(context, parsed, &authority)
         }
-        Permit::Refused(refusal) => Err(refusal),
+        ExecutionDecision::Refused(refusal) => Err(refusal),
     }
 }
 
@@ -49,7 +49,7 @@
     let outcome = run();
     match &outcome {
         Ok(reply) => once.finish(entry_name, reply),
-        Err(_) if context.may_have_run() => once.lose(entry_name),
+        Err(_) if context.may_have_run() => once.mark_lost(entry_name),
         Err(refusal) if refusal.code == Code::Duplicate => {
             once.release(entry_name);
             if let Some(reply) = fetch_stored_reply(context) {
@@ -106,7 +106,7 @@
     if *authority == context.node.opener() || parsed.header(FORWARDED_HEADER).is_some() {
         return Err(lost());
     }
-    let addr = spread::authority_addr(context.node, &authority.box_name, authority.number);
+    let addr = document_sync::incarnation_addr(context.node, &authority.box_name, authority.number);
     let addr = addr.ok_or_else(lost)?;
     let mut headers: Vec<pb::Header> = parsed.headers.iter().map(to_peer_header).collect();
     headers.push(pb::Header {
--- a/crates/ivyweird/src/lib.rs
+++ b/crates/ivyweird/src/lib.rs
@@ -23,17 +23,17 @@
 mod context;
 mod digest;
 mod dispatcher;
+mod document_sync;
 mod duties;
 mod engine_call;
 mod forward;
-mod learn;
+mod idempotency;
 mod lease;
 mod ledger;
-mod loads;
+mod load_polling;
 mod logging;
 mod metrics;
 mod node;
-mod once;
 mod operator_api;
 mod peer_api;
 mod rating;
@@ -45,8 +45,8 @@
 mod settings;
 mod shards;
 mod shutdown;
-mod spread;
 mod stream;
+mod version_stats;
 
 use std::io;
 use std::sync::Arc;
@@ -136,12 +136,12 @@
 }
 
 fn spawn_background_threads(node: &Arc<Node>) -> io::Result<Vec<JoinHandle<()>>> {
-    let load_round = Arc::new(loads::Round::new());
+    let load_round = Arc::new(load_polling::PollQueue::new());
     let mut threads = vec![
-        spawn("exchange", node, spread::exchange_rounds)?,
-        spawn("watch-config", node, spread::watch_config)?,
-        spawn("watch-boxes", node, spread::watch_boxes)?,
-        spawn("push", node, spread::push_changes)?,
+        spawn("exchange", node, document_sync::run_exchanges)?,
+        spawn("watch-config", node, document_sync::watch_config)?,
+        spawn("watch-boxes", node, document_sync::poll_box_list)?,
+        spawn("push", node, document_sync::push_changes)?,
         spawn("replicate", node, replica::replicate)?,
         spawn("flush", node, flush_billing)?,
         spawn("duties", node, duties::run)?,
@@ -149,12 +149,12 @@
     ];
     let round = load_round.clone();
     threads.push(spawn("plan-loads", node, move |node| {
-        loads::plan_rounds(node, &round)
+        load_polling::schedule_polls(node, &round)
     })?);
-    for _ in 0..loads::THREADS {
+    for _ in 0..load_polling::THREAD_COUNT {
         let round = load_round.clone();
         threads.push(spawn("ask-loads", node, move |node| {
-            loads::ask(node, &round)
+            load_polling::poll_upstreams(node, &round)
         })?);
     }
     Ok(threads)
@@ -179,7 +179,7 @@
         // If the store is unavailable, the next iteration writes the same segment.
         let _retried_in_next_iteration = segments::flush(node);
         segments::flush_for_departed(node);
-        node.learning.forget(clock::Clock::epoch_ms());
+        node.learning.remove_expired(clock::Clock::epoch_ms());
         node.metrics
             .billing_pending
             .record(node.ledger.pending() as u64, &[]);
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -16,15 +16,15 @@
 use ivyweir_service::{HttpService, Service};
 
 use crate::clock::Clock;
-use crate::config::{BoxListState, ConfigState, Current};
+use crate::config::{BoxListState, ConfigSnapshot, ConfigState};
 use crate::dispatcher::Dispatcher;
-use crate::learn::Learning;
+use crate::idempotency::IdempotencyKeys;
 use crate::ledger::Ledger;
 use crate::metrics::Metrics;
-use crate::once::Once;
 use crate::rating::RatingQueue;
 use crate::settings::Settings;
 use crate::shards::lock;
+use crate::version_stats::VersionStats;
 
 /// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -62,13 +62,13 @@
     /// Upstreams and the queues of requests that wait for them.
     pub dispatcher: Dispatcher,
     /// Quality estimates and verdicts, by version.
-    pub learning: Learning,
+    pub learning: VersionStats,
     /// Answers that wait to be rated.
     pub rating_queue: RatingQueue,
     /// Billing records that are not in the store yet.
     pub ledger: Ledger,
     /// State of the requests that run at most once.
-    pub idempotency: Once,
+    pub idempotency: IdempotencyKeys,
     members: Mutex<MemberTable>,
     live_boxes: AtomicU32,
     in_progress: AtomicUsize,
@@ -129,10 +129,10 @@
             rater,
             peers: Client::new(settings.fleet_key())?,
             dispatcher: Dispatcher::new(&settings),
-            learning: Learning::new(&incarnation),
+            learning: VersionStats::new(&incarnation),
             rating_queue: RatingQueue::new(),
             ledger: Ledger::new(settings.limits.max_billing_bytes),
-            idempotency: Once::new(&incarnation),
+            idempotency: IdempotencyKeys::new(&incarnation),
             members: Mutex::new(members),
             live_boxes: AtomicU32::new(1),
             in_progress: AtomicUsize::new(0),
@@ -148,7 +148,7 @@
     }
 
     /// The configuration in force.
-    pub fn current(&self) -> Arc<Current> {
+    pub fn current(&self) -> Arc<ConfigSnapshot> {
         self.config.get()
     }
 
--- a/crates/ivyweird/src/peer_api.rs
+++ b/crates/ivyweird/src/peer_api.rs
@@ -5,9 +5,9 @@
 use ivyweir_peer::{Peer, pb};
 use ivyweir_policy::claim::{Incarnation, Journal};
 
-use crate::digest::Tell;
+use crate::digest::{self, DigestOptions};
 use crate::node::Node;
-use crate::{digest, forward, once, spread};
+use crate::{document_sync, forward, idempotency};
 
 /// Answers the calls of peers from the state of the box.
 pub struct PeerApi {
@@ -17,25 +17,25 @@
 
 impl Peer for PeerApi {
     fn exchange(&self, digest: pb::Digest) -> pb::Digest {
-        let missing = digest::merge(&self.node, &digest);
+        let diff = digest::merge(&self.node, &digest);
         // Documents that are newer at the sender are fetched when this box itself next exchanges
         // digests with it.
-        let tell = Tell {
-            members: missing.members,
-            sets: digest.wants_sets,
-            wants_sets: missing.sets,
+        let options = DigestOptions {
+            members: diff.members_differ,
+            version_sets: digest.wants_sets,
+            wants_version_sets: diff.unknown_version_set,
         };
-        let reply = digest::build(&self.node, tell);
-        spread::count_bytes(&self.node, [&digest, &reply]);
+        let reply = digest::build(&self.node, options);
+        document_sync::record_digest_bytes(&self.node, [&digest, &reply]);
         reply
     }
 
     fn push(&self, document: pb::Document) -> bool {
-        spread::take_document(&self.node, &document)
+        document_sync::apply_document(&self.node, &document)
     }
 
     fn fetch(&self, request: pb::FetchRequest) -> pb::Document {
-        spread::give_document(&self.node, &request)
+        document_sync::document_reply(&self.node, &request)
     }
 
     fn hold(&self, request: pb::HoldRequest) -> bool {
@@ -47,7 +47,7 @@
     }
 
     fn claim(&self, request: pb::ClaimRequest) -> pb::ClaimReply {
-        once::claim_reply(&once::write_claim(&self.node, &request))
+        idempotency::claim_reply(&idempotency::write_claim(&self.node, &request))
     }
 
     fn outcome(&self, request: pb::OutcomeRequest) -> pb::OutcomeReply {
--- a/crates/ivyweird/src/rating.rs
+++ b/crates/ivyweird/src/rating.rs
@@ -6,8 +6,8 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 
 use crate::clock::Clock;
-use crate::learn::Observation;
 use crate::node::Node;
+use crate::version_stats::Observation;
 
 /// Capacity of the queue; when the rating service is slow, further samples are dropped.
 const MAX_QUEUED_SAMPLES: usize = 32;
@@ -72,7 +72,7 @@
         };
         node.metrics.ratings.add(1, &[]);
         let epoch_ms = Clock::epoch_ms();
-        let changed = node.learning.rated(
+        let changed = node.learning.record_rating(
             &sample.observation,
             score,
             sample.expected_quality,
@@ -80,7 +80,10 @@
         );
         if changed {
             node.metrics.verdict_changes.add(1, &[]);
-            log::warn!("ratings changed the verdict on {}", sample.observation.at);
+            log::warn!(
+                "ratings changed the verdict on {}",
+                sample.observation.version
+            );
         }
     }
 }
--- a/crates/ivyweird/src/segments.rs
+++ b/crates/ivyweird/src/segments.rs
@@ -29,7 +29,7 @@
 /// Returns the sequence number up to which the records are in the store, or `None` if the store did
 /// not confirm a write.
 pub fn flush(node: &Node) -> Option<u64> {
-    let mut unconfirmed = lock(&node.ledger.flushing);
+    let mut unconfirmed = lock(&node.ledger.pending_flush);
     loop {
         if unconfirmed.is_none() {
             *unconfirmed = next_segment(node);
@@ -167,7 +167,7 @@
 
 fn replicate_own(node: &Node) -> bool {
     let mut replica = Replica {
-        at: choose_replica(node, None),
+        member: choose_replica(node, None),
         through_seq: 0,
     };
     send_pending(node, &mut replica).is_some()
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -43,7 +43,7 @@
     let not_found = || Refusal::not_run(Code::NotFound, "no service pool in the path");
     let (pool, service_path) = split_path(&parsed.path_and_query).ok_or_else(not_found)?;
     check_allowed(context, pool)?;
-    context.node.ledger.check_room()?;
+    context.node.ledger.check_available()?;
     let call = ivyweir_service::Call {
         method: parsed.method.clone(),
         path_and_query: service_path,
--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -42,7 +42,7 @@
 /// Answers a request with a stream. Returns the outcome label for the request metric.
 pub fn answer(context: &Context<'_>, request: &ChatRequest, incoming: Incoming) -> &'static str {
     let route = route::find(context, request);
-    let route = route.and_then(|route| context.node.ledger.check_room().map(|()| route));
+    let route = route.and_then(|route| context.node.ledger.check_available().map(|()| route));
     match route {
         Ok(route) => ChatStream::new(context, request, &route, incoming).run(),
         Err(refusal) => {
