--- a/crates/ivyweir-peer/src/error.rs
+++ b/crates/ivyweir-peer/src/error.rs
@@ -1,15 +1,15 @@
-//! The error of this package.
+//! The error type of this crate.
 
 use std::fmt;
 
-/// A call to a peer that brought no answer.
+/// A failed call to a peer.
 #[derive(Debug)]
 pub struct Error {
     detail: String,
     certainly_not_received: bool,
 }
 
-/// The result of a call.
+/// The result of a peer call.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whether the peer has certainly not taken the call in.
+    /// Whether the peer is known not to have processed the call.
     pub fn certainly_not_received(&self) -> bool {
         self.certainly_not_received
     }
--- a/crates/ivyweir-peer/src/lib.rs
+++ b/crates/ivyweir-peer/src/lib.rs
@@ -1,17 +1,17 @@
-//! What boxes say to each other, over `tonic`.
+//! The protocol between boxes, over `tonic`.
 //!
-//! The runtime that `tonic` needs stays inside: [`Client`] and [`Server`] are called from ordinary
-//! threads, and [`Peer`] is answered by ordinary functions.
+//! The async runtime that `tonic` needs is internal: [`Client`] and [`Server`] are used from
+//! ordinary threads, and [`Peer`] is implemented with synchronous functions.
 //!
 //! ```
 //! use std::sync::Arc;
 //! use std::time::Duration;
 //! use ivyweir_peer::{Client, Peer, Server, pb};
 //!
-//! struct Quiet;
-//! impl Peer for Quiet {}
+//! struct DefaultPeer;
+//! impl Peer for DefaultPeer {}
 //!
-//! let server = Server::start("127.0.0.1:0", b"fleet key", Arc::new(Quiet)).unwrap();
+//! let server = Server::start("127.0.0.1:0", b"fleet key", Arc::new(DefaultPeer)).unwrap();
 //! let client = Client::new(b"fleet key").unwrap();
 //! let digest = client.exchange(&server.addr().to_string(), pb::Digest::default());
 //! assert!(digest.is_ok());
@@ -37,7 +37,7 @@
 /// Document kind of the box list.
 pub const BOX_LIST_DOCUMENT: u32 = 2;
 
-/// Size of a digest on the wire, without the frame around it.
-pub fn encoded_bytes(digest: &pb::Digest) -> usize {
+/// Encoded size of a digest in bytes, without the gRPC framing.
+pub fn encoded_len(digest: &pb::Digest) -> usize {
     prost::Message::encoded_len(digest)
 }
--- a/crates/ivyweir-peer/src/proof.rs
+++ b/crates/ivyweir-peer/src/proof.rs
@@ -1,21 +1,21 @@
-//! How peers prove that they belong to the fleet.
+//! Authentication between peers of a fleet.
 
 use tonic::metadata::{Ascii, MetadataValue};
 use tonic::{Request, Status};
 
 const HEADER: &str = "x-ivyweir-proof";
-const CONTEXT: &str = "ivyweir peer proof";
+const KEY_CONTEXT: &str = "ivyweir peer proof";
 
-/// A proof derived from the fleet key; the key itself is never sent.
+/// A proof of fleet membership, derived from the fleet key; the key itself is never sent.
 #[derive(Clone)]
-pub(crate) struct Proof {
+pub(crate) struct FleetProof {
     expected: blake3::Hash,
     value: MetadataValue<Ascii>,
 }
 
-impl Proof {
+impl FleetProof {
     pub(crate) fn new(fleet_key: &[u8]) -> Self {
-        let expected = blake3::Hash::from(blake3::derive_key(CONTEXT, fleet_key));
+        let expected = blake3::Hash::from(blake3::derive_key(KEY_CONTEXT, fleet_key));
         let value = expected
             .to_hex()
             .as_str()
@@ -28,8 +28,8 @@
         request.metadata_mut().insert(HEADER, self.value.clone());
     }
 
-    /// Compares in constant time.
-    pub(crate) fn check<T>(&self, request: Request<T>) -> Result<Request<T>, Status> {
+    /// Rejects requests without a valid proof. The comparison takes constant time.
+    pub(crate) fn verify<T>(&self, request: Request<T>) -> Result<Request<T>, Status> {
         let given = request
             .metadata()
             .get(HEADER)
--- a/crates/ivyweir-peer/src/server.rs
+++ b/crates/ivyweir-peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers peers.
+//! gRPC server for calls from peers.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -9,55 +9,56 @@
 use tonic::{Request, Response, Status};
 
 use crate::pb;
-use crate::proof::Proof;
+use crate::proof::FleetProof;
 
-/// Threads that wait for the network.
+/// Threads that drive network I/O.
 const IO_THREADS: usize = 2;
-/// Threads for calls that wait for something else.
-const MAX_WAITING_THREADS: usize = 64;
-const STACK_BYTES: usize = 512 << 10;
+/// Maximum number of threads for calls that may block, for example on the store.
+const MAX_BLOCKING_THREADS: usize = 64;
+const THREAD_STACK_BYTES: usize = 512 << 10;
 
-/// What a box answers its peers. A call that is not provided is refused.
+/// The calls that a box answers for its peers. Default implementations decline the call or return
+/// an empty message.
 pub trait Peer: Send + Sync + 'static {
-    /// Takes in a digest and gives this box's own.
+    /// Merges a peer's digest and returns this box's own.
     fn exchange(&self, _digest: pb::Digest) -> pb::Digest {
         pb::Digest::default()
     }
 
-    /// Takes in a document. Returns whether it was of use.
+    /// Receives a document. Returns whether it was accepted.
     fn push(&self, _document: pb::Document) -> bool {
         false
     }
 
-    /// Gives a document.
+    /// Returns a document.
     fn fetch(&self, _request: pb::FetchRequest) -> pb::Document {
         pb::Document::default()
     }
 
-    /// Holds billing records. Returns whether there is room.
+    /// Holds billing records for a peer. Returns whether there was room for them.
     fn hold(&self, _request: pb::HoldRequest) -> bool {
         false
     }
 
-    /// Lets go of billing records.
+    /// Releases billing records held for a peer.
     fn release(&self, _request: pb::ReleaseRequest) {}
 
-    /// Writes a claim; may wait for the store.
+    /// Writes a claim; may block on the store.
     fn claim(&self, _request: pb::ClaimRequest) -> pb::ClaimReply {
         pb::ClaimReply::default()
     }
 
-    /// Gives a kept answer.
+    /// Returns the stored answer for a request key.
     fn outcome(&self, _request: pb::OutcomeRequest) -> pb::OutcomeReply {
         pb::OutcomeReply::default()
     }
 
-    /// Runs a request that this box has the authority for; waits for the answer.
+    /// Runs a request whose session this box holds the authority for; blocks until it is answered.
     fn forward(&self, _request: pb::ForwardRequest) -> Option<pb::ForwardReply> {
         None
     }
 
-    /// Takes over a stopping box's sessions. Returns whether it did.
+    /// Takes over the sessions of a stopping box. Returns whether it accepted them.
     fn hand_over(&self, _request: pb::HandOverRequest) -> bool {
         false
     }
@@ -70,25 +71,25 @@
 }
 
 impl Server {
-    /// Listens on `addr` for peers that know `fleet_key`.
+    /// Starts a server on `addr` for peers that authenticate with `fleet_key`.
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound or threads cannot be made.
+    /// If the address cannot be bound or threads cannot be created.
     pub fn start(addr: &str, fleet_key: &[u8], peer: Arc<dyn Peer>) -> io::Result<Self> {
         let listener = TcpListener::bind(addr)?;
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(IO_THREADS)
-            .max_blocking_threads(MAX_WAITING_THREADS)
-            .thread_stack_size(STACK_BYTES)
+            .max_blocking_threads(MAX_BLOCKING_THREADS)
+            .thread_stack_size(THREAD_STACK_BYTES)
             .thread_name("peer-server")
             .enable_all()
             .build()?;
-        let proof = Proof::new(fleet_key);
-        let check = move |request: Request<()>| proof.check(request);
-        let service = pb::peer_server::PeerServer::with_interceptor(Answering { peer }, check);
+        let proof = FleetProof::new(fleet_key);
+        let check = move |request: Request<()>| proof.verify(request);
+        let service = pb::peer_server::PeerServer::with_interceptor(PeerService { peer }, check);
         runtime.spawn(async move {
             let listener = tokio::net::TcpListener::from_std(listener)
                 .expect("the listener is non-blocking and the runtime has I/O");
@@ -96,7 +97,7 @@
                 .tcp_nodelay(true)
                 .add_service(service)
                 .serve_with_incoming(TcpListenerStream::new(listener));
-            // It ends only with the runtime; a broken connection does not end it.
+            // The server runs until the runtime shuts down; a broken connection does not end it.
             let _ended = served.await;
         });
         Ok(Self {
@@ -105,7 +106,7 @@
         })
     }
 
-    /// The address it listens on.
+    /// The address that the server listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -119,13 +120,13 @@
     }
 }
 
-struct Answering {
+struct PeerService {
     peer: Arc<dyn Peer>,
 }
 
-impl Answering {
-    /// Runs a call that may wait on a thread of its own.
-    async fn wait<T, F>(&self, run: F) -> Result<T, Status>
+impl PeerService {
+    /// Runs a call that may block on a separate thread.
+    async fn run_blocking<T, F>(&self, run: F) -> Result<T, Status>
     where
         T: Send + 'static,
         F: FnOnce(&dyn Peer) -> T + Send + 'static,
@@ -142,13 +143,15 @@
 }
 
 #[tonic::async_trait]
-impl pb::peer_server::Peer for Answering {
+impl pb::peer_server::Peer for PeerService {
     async fn exchange(&self, r: Request<pb::Digest>) -> Result<Response<pb::Digest>, Status> {
         Ok(Response::new(self.peer.exchange(r.into_inner())))
     }
 
     async fn push(&self, r: Request<pb::Document>) -> Result<Response<pb::Ack>, Status> {
-        self.wait(move |p| p.push(r.into_inner())).await.map(ack)
+        self.run_blocking(move |p| p.push(r.into_inner()))
+            .await
+            .map(ack)
     }
 
     async fn fetch(&self, r: Request<pb::FetchRequest>) -> Result<Response<pb::Document>, Status> {
@@ -168,7 +171,7 @@
         &self,
         r: Request<pb::ClaimRequest>,
     ) -> Result<Response<pb::ClaimReply>, Status> {
-        self.wait(move |p| p.claim(r.into_inner()))
+        self.run_blocking(move |p| p.claim(r.into_inner()))
             .await
             .map(Response::new)
     }
@@ -184,7 +187,9 @@
         &self,
         r: Request<pb::ForwardRequest>,
     ) -> Result<Response<pb::ForwardReply>, Status> {
-        let reply = self.wait(move |p| p.forward(r.into_inner())).await?;
+        let reply = self
+            .run_blocking(move |p| p.forward(r.into_inner()))
+            .await?;
         reply
             .map(Response::new)
             .ok_or_else(|| Status::unimplemented("not the authority"))
--- a/crates/ivyweird/src/spread.rs
+++ b/crates/ivyweird/src/spread.rs
@@ -276,7 +276,7 @@
 
 /// Counts digests that this box sent and received.
 pub fn count_bytes(node: &Node, digests: [&pb::Digest; 2]) {
-    let bytes = digests.map(|d| ivyweir_peer::encoded_bytes(d) as u64);
+    let bytes = digests.map(|d| ivyweir_peer::encoded_len(d) as u64);
     node.metrics.digest_bytes.add(bytes.iter().sum(), &[]);
 }
 
