--- a/crates/ivyweir-peer/src/client.rs
+++ b/crates/ivyweir-peer/src/client.rs
@@ -186,7 +186,7 @@
     pub fn prune(&self, keep: impl Fn(&str) -> bool) {
         self.channels
             .lock()
-            .expect("no call panics with the lock")
+            .expect("no thread panics while it holds the lock")
             .retain(|addr, _| keep(addr));
     }
 
@@ -211,7 +211,10 @@
     }
 
     fn client(&self, addr: &str) -> Result<PeerClient> {
-        let mut channels = self.channels.lock().expect("no call panics with the lock");
+        let mut channels = self
+            .channels
+            .lock()
+            .expect("no thread panics while it holds the lock");
         if let Some(client) = channels.get(addr) {
             return Ok(client.clone());
         }
--- a/crates/ivyweir/src/args.rs
+++ b/crates/ivyweir/src/args.rs
@@ -1,11 +1,11 @@
-//! The arguments; the help texts carry the examples.
+//! Command line arguments; the help texts contain examples.
 
 use gumdrop::Options;
 
-/// All arguments.
+/// Top-level arguments.
 #[derive(Debug, Options)]
 pub struct Args {
-    #[options(help = "print this text; `COMMAND --help` tells more of a command")]
+    #[options(help = "print this text; `COMMAND --help` describes a command")]
     pub help: bool,
     #[options(help = "print the version", no_short)]
     pub version: bool,
@@ -22,51 +22,51 @@
         no_short
     )]
     pub key: Option<String>,
-    #[options(help = "JSON for machines in place of tables", short = "j")]
+    #[options(help = "print JSON instead of tables", short = "j")]
     pub json: bool,
     #[options(command)]
     pub command: Option<Command>,
 }
 
-/// What to do.
+/// The command to run.
 #[derive(Debug, Options)]
 pub enum Command {
-    #[options(help = "boxes, halls, upstreams, roll-outs and exposure")]
-    Status(Plain),
-    #[options(help = "events: `events`")]
-    Events(Plain),
-    #[options(help = "models and versions: `models`")]
-    Models(Plain),
-    #[options(help = "workspaces and quality targets: `workspaces`")]
-    Workspaces(Plain),
-    #[options(help = "draw a plan: `plan withdraw notes@v2 --out plan.json`")]
+    #[options(help = "show boxes, halls, upstreams, roll-outs and answers by version")]
+    Status(NoArgs),
+    #[options(help = "list events: `events`")]
+    Events(NoArgs),
+    #[options(help = "list models and versions: `models`")]
+    Models(NoArgs),
+    #[options(help = "list workspaces and quality targets: `workspaces`")]
+    Workspaces(NoArgs),
+    #[options(help = "create a plan: `plan withdraw notes@v2 --out plan.json`")]
     Plan(PlanArgs),
     #[options(help = "show a plan from a file: `show plan.json`")]
-    Show(PlanFile),
+    Show(ShowArgs),
     #[options(help = "confirm a plan from a file: `confirm plan.json`")]
     Confirm(ConfirmArgs),
-    #[options(help = "all accepted changes")]
-    Audit(Plain),
-    #[options(help = "what each workspace owes")]
-    Bill(Plain),
+    #[options(help = "list all accepted changes")]
+    Audit(NoArgs),
+    #[options(help = "show the bill of each workspace")]
+    Bill(NoArgs),
     #[options(help = "check a settings file of ivyweird: `check box.json`")]
     Check(CheckArgs),
-    #[options(help = "a request's story from log files: `explain ID box-*.log`")]
+    #[options(help = "trace a request through log files: `explain ID box-*.log`")]
     Explain(ExplainArgs),
     #[options(help = "hash a key for a workspace or operator: `hash KEY`")]
     Hash(HashArgs),
 }
 
-/// A command without arguments of its own.
+/// Arguments of commands without specific arguments.
 #[derive(Debug, Options)]
-pub struct Plain {
+pub struct NoArgs {
     #[options(help = "print this text")]
     pub help: bool,
 }
 
-/// A command on a file.
+/// Arguments of `show`.
 #[derive(Debug, Options)]
-pub struct PlanFile {
+pub struct ShowArgs {
     #[options(help = "print this text")]
     pub help: bool,
     #[options(free, required, help = "the file")]
@@ -81,7 +81,7 @@
     #[options(free, required, help = "the plan's file")]
     pub file: String,
     #[options(
-        help = "write a fresh plan here if the old one no longer fits",
+        help = "write the new plan here if the old one is outdated",
         meta = "FILE"
     )]
     pub out: Option<String>,
@@ -114,7 +114,10 @@
     pub help: bool,
     #[options(free, required, help = "the request's id")]
     pub request_id: String,
-    #[options(free, help = "log files of boxes; - is standard input, as is none")]
+    #[options(
+        free,
+        help = "log files of boxes, or folders of them; - or none reads standard input"
+    )]
     pub files: Vec<String>,
 }
 
@@ -129,7 +132,7 @@
     pub intent: Option<IntentArgs>,
 }
 
-/// What is intended.
+/// The intent that a plan is created for.
 #[derive(Debug, Options)]
 pub enum IntentArgs {
     #[options(
@@ -139,14 +142,18 @@
     #[options(help = "add a version: `plan version notes@v2 --cost 4000 --quality 0.9`")]
     Version(VersionArgs),
     #[options(help = "make a version current: `plan current notes@v2`")]
-    Current(AtArgs),
+    Current(VersionRefArgs),
     #[options(
-        help = "put a workspace: `plan workspace x --key-hash HEX --target 0.8 --allow notes@v1,tags@v1`"
+        help = "create or replace a workspace: `plan workspace x --key-hash HEX --target 0.8 --allow notes@v1,tags@v1`"
     )]
     Workspace(WorkspaceArgs),
-    #[options(help = "put a pool of upstreams: `plan pool engines --kind engine --checks-fence`")]
+    #[options(
+        help = "create or replace a pool of upstreams: `plan pool engines --kind engine --checks-fence`"
+    )]
     Pool(PoolArgs),
-    #[options(help = "put an operator: `plan operator ann --key-hash HEX --role viewer`")]
+    #[options(
+        help = "create or replace an operator: `plan operator ann --key-hash HEX --role viewer`"
+    )]
     Operator(OperatorArgs),
     #[options(
         help = "roll a version out: `plan roll notes@v2 --workspace x --share 50 --before 2026-12-03T06:00:00Z`"
@@ -155,7 +162,7 @@
     #[options(help = "halt a roll-out: `plan halt x.notes --reason complaints`")]
     Halt(HaltArgs),
     #[options(help = "withdraw a version now: `plan withdraw notes@v2`")]
-    Withdraw(AtArgs),
+    Withdraw(VersionRefArgs),
 }
 
 /// Arguments of `plan event`.
@@ -171,7 +178,7 @@
         meta = "TIME"
     )]
     pub start: String,
-    #[options(help = "workspaces that take part, by commas", meta = "LIST")]
+    #[options(help = "participating workspaces, separated by commas", meta = "LIST")]
     pub workspaces: Option<String>,
 }
 
@@ -186,15 +193,15 @@
     pub cost: u64,
     #[options(
         required,
-        help = "quality expected before any rating, 0 to 1",
+        help = "expected quality before any rating, 0 to 1",
         meta = "QUALITY"
     )]
     pub quality: f64,
 }
 
-/// Arguments of intents that name a version only.
+/// Arguments of `plan current` and `plan withdraw`.
 #[derive(Debug, Options)]
-pub struct AtArgs {
+pub struct VersionRefArgs {
     #[options(help = "print this text")]
     pub help: bool,
     #[options(free, required, help = "model@version")]
@@ -210,7 +217,7 @@
     pub name: String,
     #[options(required, help = "hash of the caller key, from `hash`", meta = "HEX")]
     pub key_hash: String,
-    #[options(required, help = "mean quality to reach, 0 to 1", meta = "QUALITY")]
+    #[options(required, help = "target mean quality, 0 to 1", meta = "QUALITY")]
     pub target: f64,
     #[options(
         help = "share of capacity relative to others",
@@ -218,9 +225,12 @@
         default = "1"
     )]
     pub weight: u32,
-    #[options(help = "versions it may use, by commas", meta = "LIST")]
+    #[options(help = "versions it may use, separated by commas", meta = "LIST")]
     pub allow: Option<String>,
-    #[options(help = "pools of plain services it may call, by commas", meta = "LIST")]
+    #[options(
+        help = "pools of kind service it may call, separated by commas",
+        meta = "LIST"
+    )]
     pub services: Option<String>,
 }
 
@@ -233,7 +243,7 @@
     pub name: String,
     #[options(required, help = "engine or service", meta = "KIND")]
     pub kind: String,
-    #[options(help = "its upstreams refuse orders of an older generation", no_short)]
+    #[options(help = "its upstreams reject orders of an older generation", no_short)]
     pub checks_fence: bool,
 }
 
@@ -260,27 +270,27 @@
     #[options(required, help = "the workspace", meta = "NAME")]
     pub workspace: String,
     #[options(
-        help = "share of new sessions to reach, in hundredths",
+        help = "target share of new sessions, in percent",
         meta = "PERCENT",
         default = "100"
     )]
     pub share: u32,
     #[options(
         required,
-        help = "when the share is reached, as 2026-12-03T06:00:00Z or +MINUTESm",
+        help = "time by which the share is reached, as 2026-12-03T06:00:00Z or +MINUTESm",
         meta = "TIME"
     )]
     pub before: String,
     #[options(help = "number of equal steps", meta = "N", default = "5")]
     pub steps: u32,
     #[options(
-        help = "halt under this mean rating, 0 to 1",
+        help = "halt below this mean rating, 0 to 1",
         meta = "QUALITY",
         default = "0"
     )]
     pub floor: f64,
     #[options(
-        help = "halt over this share of failed answers, in thousandths",
+        help = "halt above this share of failed answers, in thousandths",
         meta = "N",
         default = "200"
     )]
@@ -294,6 +304,10 @@
     pub help: bool,
     #[options(free, required, help = "the roll-out's id, WORKSPACE.MODEL")]
     pub id: String,
-    #[options(help = "why, for the audit", meta = "TEXT", default = "operator")]
+    #[options(
+        help = "reason recorded in the audit",
+        meta = "TEXT",
+        default = "operator"
+    )]
     pub reason: String,
 }
--- a/crates/ivyweir/src/explain.rs
+++ b/crates/ivyweir/src/explain.rs
@@ -1,4 +1,4 @@
-//! One request's story from the decision logs of boxes.
+//! Traces a request through the decision logs of boxes.
 
 use std::collections::HashSet;
 use std::fs;
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Events that say what a box believed, worth showing beside a request.
-const BELIEFS: [&str; 9] = [
+/// Events that show the state of a box and are listed together with a request's own events.
+const BOX_STATE_EVENTS: [&str; 9] = [
     "store_lost",
     "store_regained",
     "readiness",
@@ -20,129 +20,139 @@
     "version_condemned",
     "store_history_gone",
 ];
-/// Time before a request's first line in which a box's beliefs are shown.
-const BEFORE_MS: u64 = 10_000;
+/// Time before a request's first log line from which on box state events are included.
+const CONTEXT_BEFORE_MS: u64 = 10_000;
 
-/// What a step is to the request that is explained.
+/// How an entry is related to the traced request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Relation {
-    /// It is a step of the request.
+    /// The entry belongs to the request itself.
     Own,
-    /// It is about an earlier or later try of the same request, by its content.
-    Same,
-    /// It is what the box believed.
-    Belief,
+    /// The entry belongs to an earlier or later attempt with the same content.
+    #[serde(rename = "same")]
+    SameContent,
+    /// The entry shows the state of a box that handled the request.
+    #[serde(rename = "belief")]
+    BoxState,
 }
 
-/// A line of the story.
+/// One log line of a trace.
 #[derive(Debug, Serialize)]
-pub struct Step {
-    /// Time of day.
+pub struct TraceEntry {
+    /// Time of the event, in milliseconds since the Unix epoch.
     pub epoch_ms: u64,
-    /// The log file.
-    pub from: String,
-    /// What happened.
+    /// The log file that contains the line.
+    #[serde(rename = "from")]
+    pub log_file: String,
+    /// The name of the event.
     pub event: String,
-    /// What it is to the request.
+    /// How the entry is related to the traced request.
     pub relation: Relation,
-    /// Whose step it is, where it is another try's.
+    /// The id of the request that the line is about, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_id: Option<String>,
-    /// What decided it.
+    /// The remaining fields of the log line.
     pub detail: Map<String, Value>,
 }
 
-impl Step {
-    /// Whether it is about requests of this content.
-    fn names(&self, fingerprint: &str) -> bool {
-        let is_it = |value: &Value| value.as_str() == Some(fingerprint);
-        let one = self.detail.get("fingerprint").is_some_and(is_it);
+impl TraceEntry {
+    /// Whether the entry is about requests whose content has this fingerprint.
+    fn mentions_fingerprint(&self, fingerprint: &str) -> bool {
+        let is_match = |value: &Value| value.as_str() == Some(fingerprint);
+        let one = self.detail.get("fingerprint").is_some_and(is_match);
         let many = self.detail.get("fingerprints").and_then(Value::as_array);
-        one || many.is_some_and(|all| all.iter().any(is_it))
+        one || many.is_some_and(|all| all.iter().any(is_match))
     }
 }
 
-/// Reads the files, those of folders, or standard input for `-`, and tells the story of `request_id`.
+/// Reads log files, all files in given folders, or standard input for `-`, and returns the trace
+/// of `request_id` in order of time.
 ///
 /// # Errors
 ///
-/// When a file cannot be read; the text names it.
-pub fn story(request_id: &str, files: &[String]) -> Result<Vec<Step>, String> {
-    let mut steps = Vec::new();
-    for file in logs_of(files)? {
-        let text = read(&file)?;
-        steps.extend(text.lines().filter_map(|line| parse(line, &file)));
+/// If a file cannot be read; the message names it.
+pub fn trace_request(request_id: &str, files: &[String]) -> Result<Vec<TraceEntry>, String> {
+    let mut entries = Vec::new();
+    for file in expand_folders(files)? {
+        let text = read_input(&file)?;
+        entries.extend(text.lines().filter_map(|line| parse_line(line, &file)));
     }
-    let own: Vec<&Step> = steps
+    let own: Vec<&TraceEntry> = entries
         .iter()
-        .filter(|step| is_of(step, request_id))
+        .filter(|entry| has_request_id(entry, request_id))
         .collect();
     let (Some(first), Some(last)) = (
-        own.iter().map(|step| step.epoch_ms).min(),
-        own.iter().map(|step| step.epoch_ms).max(),
+        own.iter().map(|entry| entry.epoch_ms).min(),
+        own.iter().map(|entry| entry.epoch_ms).max(),
     ) else {
         return Ok(Vec::new());
     };
-    let boxes: HashSet<String> = own.iter().map(|step| step.from.clone()).collect();
-    let fingerprint = own.iter().find_map(|step| fingerprint_of(step));
-    let same = same_requests(&steps, fingerprint.as_deref());
-    let span = first.saturating_sub(BEFORE_MS)..=last;
-    let relation = |step: &Step| {
-        if is_of(step, request_id) {
+    let log_files: HashSet<String> = own.iter().map(|entry| entry.log_file.clone()).collect();
+    let fingerprint = own.iter().find_map(|entry| fingerprint_of(entry));
+    let same_content_ids = request_ids_of_content(&entries, fingerprint.as_deref());
+    let span = first.saturating_sub(CONTEXT_BEFORE_MS)..=last;
+    let relation = |entry: &TraceEntry| {
+        if has_request_id(entry, request_id) {
             return Some(Relation::Own);
         }
-        let is_same = match &step.request_id {
-            Some(id) => same.contains(id),
-            None => fingerprint.as_ref().is_some_and(|f| step.names(f)),
+        let is_same_content = match &entry.request_id {
+            Some(id) => same_content_ids.contains(id),
+            None => fingerprint
+                .as_ref()
+                .is_some_and(|f| entry.mentions_fingerprint(f)),
         };
-        let is_belief = step.request_id.is_none()
-            && BELIEFS.contains(&step.event.as_str())
-            && span.contains(&step.epoch_ms)
-            && boxes.contains(&step.from);
-        match (is_same, is_belief) {
-            (true, _) => Some(Relation::Same),
-            (false, true) => Some(Relation::Belief),
+        let is_box_state = entry.request_id.is_none()
+            && BOX_STATE_EVENTS.contains(&entry.event.as_str())
+            && span.contains(&entry.epoch_ms)
+            && log_files.contains(&entry.log_file);
+        match (is_same_content, is_box_state) {
+            (true, _) => Some(Relation::SameContent),
+            (false, true) => Some(Relation::BoxState),
             (false, false) => None,
         }
     };
-    let related = steps.into_iter().filter_map(|mut step| {
-        step.relation = relation(&step)?;
-        Some(step)
+    let related = entries.into_iter().filter_map(|mut entry| {
+        entry.relation = relation(&entry)?;
+        Some(entry)
     });
-    let mut story: Vec<Step> = related.collect();
-    story.sort_by_key(|step| step.epoch_ms);
-    Ok(story)
+    let mut trace: Vec<TraceEntry> = related.collect();
+    trace.sort_by_key(|entry| entry.epoch_ms);
+    Ok(trace)
 }
 
-fn is_of(step: &Step, request_id: &str) -> bool {
-    step.request_id.as_deref() == Some(request_id)
+fn has_request_id(entry: &TraceEntry, request_id: &str) -> bool {
+    entry.request_id.as_deref() == Some(request_id)
 }
 
-/// The identity of a request's content, which its first step tells.
-fn fingerprint_of(step: &Step) -> Option<String> {
-    let fingerprint = step.detail.get("fingerprint")?;
+/// The fingerprint of the request's content, if the entry contains it.
+fn fingerprint_of(entry: &TraceEntry) -> Option<String> {
+    let fingerprint = entry.detail.get("fingerprint")?;
     fingerprint.as_str().map(str::to_owned)
 }
 
-/// Ids of the tries of a request by its content, where an upstream ended under one of them: other requests that
-/// are alike say nothing of it.
-fn same_requests(steps: &[Step], fingerprint: Option<&str>) -> HashSet<String> {
+/// Ids of the requests with this fingerprint, if an upstream ended during one of them; otherwise
+/// empty, because other requests with the same content do not explain the traced one.
+fn request_ids_of_content(entries: &[TraceEntry], fingerprint: Option<&str>) -> HashSet<String> {
     let Some(fingerprint) = fingerprint else {
         return HashSet::new();
     };
-    let is_end = |step: &Step| step.event == "upstream_ended" && step.names(fingerprint);
-    if !steps.iter().any(is_end) {
+    let is_end = |entry: &TraceEntry| {
+        entry.event == "upstream_ended" && entry.mentions_fingerprint(fingerprint)
+    };
+    if !entries.iter().any(is_end) {
         return HashSet::new();
     }
-    let of_content = steps.iter().filter(|step| step.names(fingerprint));
+    let of_content = entries
+        .iter()
+        .filter(|entry| entry.mentions_fingerprint(fingerprint));
     of_content
-        .filter_map(|step| step.request_id.clone())
+        .filter_map(|entry| entry.request_id.clone())
         .collect()
 }
 
-/// The files, and those in folders.
-fn logs_of(files: &[String]) -> Result<Vec<String>, String> {
+/// Replaces folders by the files that they contain.
+fn expand_folders(files: &[String]) -> Result<Vec<String>, String> {
     let mut all = Vec::new();
     for file in files {
         if !Path::new(file).is_dir() {
@@ -161,42 +171,43 @@
     Ok(all)
 }
 
-/// The story as text, one line a step; a dot marks what the box believed, `=` other tries of the same content.
-pub fn table(steps: &Vec<Step>) -> String {
-    let Some(first) = steps.iter().find(|step| step.relation == Relation::Own) else {
-        return "no line of that request; it succeeded and was thinned out, or these are other boxes\n"
+/// Formats the trace as text, one line per entry. `.` marks box state, `=` other attempts with the
+/// same content.
+pub fn table(entries: &Vec<TraceEntry>) -> String {
+    let Some(first) = entries.iter().find(|entry| entry.relation == Relation::Own) else {
+        return "no log line for that request; it succeeded and was not sampled, or another box handled it\n"
             .into();
     };
     let mut text = String::new();
-    for step in steps {
-        let after_ms = step.epoch_ms as i64 - first.epoch_ms as i64;
-        let mark = match step.relation {
+    for entry in entries {
+        let after_ms = entry.epoch_ms as i64 - first.epoch_ms as i64;
+        let mark = match entry.relation {
             Relation::Own => ' ',
-            Relation::Same => '=',
-            Relation::Belief => '.',
+            Relation::SameContent => '=',
+            Relation::BoxState => '.',
         };
-        let whose = step
+        let other_id = entry
             .request_id
             .iter()
-            .filter(|_| step.relation == Relation::Same);
-        let whose = whose.map(|id| format!("request_id={id}"));
-        let detail: Vec<String> = step
+            .filter(|_| entry.relation == Relation::SameContent);
+        let other_id = other_id.map(|id| format!("request_id={id}"));
+        let detail: Vec<String> = entry
             .detail
             .iter()
             .map(|(k, v)| format!("{k}={v}"))
-            .chain(whose)
+            .chain(other_id)
             .collect();
         text.push_str(&format!(
             "{after_ms:>+8} ms {mark} {} {}: {}\n",
-            step.from,
-            step.event,
+            entry.log_file,
+            entry.event,
             detail.join(" ")
         ));
     }
     text
 }
 
-fn read(file: &str) -> Result<String, String> {
+fn read_input(file: &str) -> Result<String, String> {
     if file == "-" {
         let mut text = String::new();
         let read = std::io::stdin().read_to_string(&mut text);
@@ -207,19 +218,19 @@
     fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))
 }
 
-fn parse(line: &str, file: &str) -> Option<Step> {
-    // A collector may have put its own words before the line.
+fn parse_line(line: &str, file: &str) -> Option<TraceEntry> {
+    // A log collector may have added a prefix to the line.
     let json = &line[line.find('{')?..];
     let mut detail: Map<String, Value> = serde_json::from_str(json).ok()?;
     let request_id = detail.remove("request_id");
     detail.remove("at_ms");
     let epoch_ms = detail.remove("epoch_ms")?.as_u64()?;
     let event = detail.remove("event")?.as_str()?.to_owned();
-    Some(Step {
+    Some(TraceEntry {
         epoch_ms,
-        from: file.to_owned(),
+        log_file: file.to_owned(),
         event,
-        relation: Relation::Belief,
+        relation: Relation::BoxState,
         request_id: request_id.and_then(|id| id.as_str().map(str::to_owned)),
         detail,
     })
--- a/crates/ivyweir/src/main.rs
+++ b/crates/ivyweir/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: `ivyweir COMMAND`.
+//! The operator command line: `ivyweir COMMAND`.
 
 mod args;
 mod explain;
--- a/crates/ivyweir/src/run.rs
+++ b/crates/ivyweir/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries out a command.
+//! Runs the commands.
 
 use std::fmt;
 use std::fs;
@@ -18,19 +18,19 @@
 };
 use crate::{explain, show, time};
 
-/// Why a command did not do what it was asked.
+/// The failure of a command.
 #[derive(Debug)]
 pub enum Failure {
     /// The arguments or a file cannot be used: exit code 2.
     Usage(String),
-    /// The box refused: exit code 3.
+    /// The box rejected the request: exit code 3.
     Refused(String),
-    /// The box did not answer: exit code 4.
-    Unanswered(String),
-    /// The plan no longer fits; nothing changed: exit code 5.
-    Moved(String),
-    /// The store did not say whether it took the change: exit code 6.
-    Unknown(String),
+    /// The box did not respond: exit code 4.
+    NoResponse(String),
+    /// The plan is outdated; nothing changed: exit code 5.
+    PlanOutdated(String),
+    /// The store did not report whether the change was written: exit code 6.
+    OutcomeUnknown(String),
 }
 
 impl Failure {
@@ -39,9 +39,9 @@
         match self {
             Self::Usage(_) => 2,
             Self::Refused(_) => 3,
-            Self::Unanswered(_) => 4,
-            Self::Moved(_) => 5,
-            Self::Unknown(_) => 6,
+            Self::NoResponse(_) => 4,
+            Self::PlanOutdated(_) => 5,
+            Self::OutcomeUnknown(_) => 6,
         }
     }
 }
@@ -51,9 +51,9 @@
         match self {
             Self::Usage(text)
             | Self::Refused(text)
-            | Self::Unanswered(text)
-            | Self::Moved(text)
-            | Self::Unknown(text) => f.write_str(text),
+            | Self::NoResponse(text)
+            | Self::PlanOutdated(text)
+            | Self::OutcomeUnknown(text) => f.write_str(text),
         }
     }
 }
@@ -63,35 +63,37 @@
         if error.status().is_some() {
             Self::Refused(error.to_string())
         } else {
-            Self::Unanswered(error.to_string())
+            Self::NoResponse(error.to_string())
         }
     }
 }
 
 type Result<T> = std::result::Result<T, Failure>;
 
-/// Carries out a command and gives what is to be printed.
+/// Runs a command and returns the text to print.
 ///
 /// # Errors
 ///
-/// A [`Failure`], whose kind is the exit code.
+/// A [`Failure`], whose variant determines the exit code.
 pub fn run(args: &Args) -> Result<String> {
     let Some(command) = &args.command else {
         return Err(Failure::Usage("no command; --help lists them".into()));
     };
     match command {
-        Command::Status(_) => out(args, &client(args)?.status()?, show::status),
-        Command::Events(_) => out(args, &client(args)?.config()?.events, show::events),
-        Command::Models(_) => out(args, &client(args)?.config()?.models, show::models),
-        Command::Workspaces(_) => out(args, &client(args)?.config()?.workspaces, show::workspaces),
-        Command::Audit(_) => out(args, &client(args)?.audit()?, |entries| {
+        Command::Status(_) => render(args, &client(args)?.status()?, show::status),
+        Command::Events(_) => render(args, &client(args)?.config()?.events, show::events),
+        Command::Models(_) => render(args, &client(args)?.config()?.models, show::models),
+        Command::Workspaces(_) => {
+            render(args, &client(args)?.config()?.workspaces, show::workspaces)
+        }
+        Command::Audit(_) => render(args, &client(args)?.audit()?, |entries| {
             show::audit(entries)
         }),
-        Command::Bill(_) => out(args, &client(args)?.bill()?, show::bill),
-        Command::Plan(plan) => draw(args, plan),
+        Command::Bill(_) => render(args, &client(args)?.bill()?, show::bill),
+        Command::Plan(plan) => create_plan(args, plan),
         Command::Show(file) => show_plan(args, &file.file),
         Command::Confirm(confirm) => self::confirm(args, confirm),
-        Command::Check(args) => check(args),
+        Command::Check(args) => check_settings(args),
         Command::Explain(request) => explain_request(args, request),
         Command::Hash(hash) => Ok(format!("{}\n", blake3::hash(hash.key.as_bytes()).to_hex())),
     }
@@ -104,11 +106,11 @@
     } else {
         &request.files
     };
-    let story = explain::story(&request.request_id, files).map_err(Failure::Usage)?;
-    out(args, &story, explain::table)
+    let trace = explain::trace_request(&request.request_id, files).map_err(Failure::Usage)?;
+    render(args, &trace, explain::table)
 }
 
-fn out<T: Serialize>(args: &Args, value: &T, table: impl Fn(&T) -> String) -> Result<String> {
+fn render<T: Serialize>(args: &Args, value: &T, table: impl Fn(&T) -> String) -> Result<String> {
     if !args.json {
         return Ok(table(value));
     }
@@ -117,14 +119,14 @@
 }
 
 fn client(args: &Args) -> Result<Client> {
-    let setting = |given: &Option<String>, variable: &str, what: &str| {
-        given
+    let option_or_env = |option: &Option<String>, variable: &str, what: &str| {
+        option
             .clone()
             .or_else(|| std::env::var(variable).ok())
             .ok_or_else(|| Failure::Usage(format!("{what} or {variable} is missing")))
     };
-    let base_url = setting(&args.box_url, "IVYWEIR_BOX", "--box")?;
-    let key = setting(&args.key, "IVYWEIR_KEY", "--key")?;
+    let base_url = option_or_env(&args.box_url, "IVYWEIR_BOX", "--box")?;
+    let key = option_or_env(&args.key, "IVYWEIR_KEY", "--key")?;
     Ok(Client::new(base_url.trim_end_matches('/'), key))
 }
 
@@ -138,21 +140,21 @@
     fs::write(path, text + "\n").map_err(|e| Failure::Usage(format!("{path}: {e}")))
 }
 
-fn draw(args: &Args, plan_args: &PlanArgs) -> Result<String> {
+fn create_plan(args: &Args, plan_args: &PlanArgs) -> Result<String> {
     let Some(intent_args) = &plan_args.intent else {
         return Err(Failure::Usage("no intent; `plan --help` lists them".into()));
     };
-    let plan = client(args)?.plan(&intent(intent_args)?)?;
+    let plan = client(args)?.plan(&build_intent(intent_args)?)?;
     if let Some(path) = &plan_args.out {
         write_plan(path, &plan)?;
     }
-    out(args, &plan, show::plan)
+    render(args, &plan, show::plan)
 }
 
 fn show_plan(args: &Args, path: &str) -> Result<String> {
     let plan: Plan = read_file(path)?;
-    let mut text = out(args, &plan, show::plan)?;
-    // Without a box, the plan is shown as the file has it.
+    let mut text = render(args, &plan, show::plan)?;
+    // Without a box to check the plan against, only the content of the file is shown.
     if let Ok(client) = client(args)
         && !args.json
     {
@@ -166,26 +168,26 @@
     let reply = client(args)?.confirm(&plan)?;
     match &reply {
         ConfirmReply::Applied { .. } | ConfirmReply::AlreadyApplied { .. } => {
-            out(args, &reply, show::confirmed)
+            render(args, &reply, show::confirm_reply)
         }
-        ConfirmReply::PlanOutdated { new_plan: fresh } => {
+        ConfirmReply::PlanOutdated { new_plan } => {
             let path = confirm.out.as_deref().unwrap_or(&confirm.file);
-            write_plan(path, fresh)?;
-            let text = show::plan(fresh);
-            Err(Failure::Moved(format!(
-                "the configuration changed under this plan; nothing was done.\n\
-                 a fresh plan is in {path}:\n{text}"
+            write_plan(path, new_plan)?;
+            let text = show::plan(new_plan);
+            Err(Failure::PlanOutdated(format!(
+                "the configuration parts that this plan depends on have changed; nothing was applied.\n\
+                 a new plan was written to {path}:\n{text}"
             )))
         }
-        ConfirmReply::Unknown { detail } => Err(Failure::Unknown(format!(
-            "it is not known whether the change was taken ({detail}); confirm again to find out"
+        ConfirmReply::Unknown { detail } => Err(Failure::OutcomeUnknown(format!(
+            "unknown whether the change was applied ({detail}); confirm again to find out"
         ))),
     }
 }
 
-fn check(args: &CheckArgs) -> Result<String> {
+fn check_settings(args: &CheckArgs) -> Result<String> {
     let path = Path::new(&args.file);
-    let checked = if args.gateway {
+    let result = if args.gateway {
         GatewaySettings::from_file(path)
             .map(drop)
             .map_err(|e| e.to_string())
@@ -194,47 +196,47 @@
             .map(drop)
             .map_err(|e| e.to_string())
     };
-    checked.map_err(Failure::Usage)?;
+    result.map_err(Failure::Usage)?;
     Ok(format!("{}: ok\n", args.file))
 }
 
-fn version(text: &str) -> Result<VersionRef> {
+fn parse_version(text: &str) -> Result<VersionRef> {
     text.parse().map_err(|e| Failure::Usage(format!("{e}")))
 }
 
-fn at_time(text: &str) -> Result<u64> {
-    let problem = || {
+fn parse_time(text: &str) -> Result<u64> {
+    let error = || {
         Failure::Usage(format!(
             "time {text:?}, expected 2026-12-03T06:00:00Z or +30m"
         ))
     };
-    time::parse(text, time::now_ms()).ok_or_else(problem)
+    time::parse(text, time::now_ms()).ok_or_else(error)
 }
 
-fn names(list: &Option<String>) -> Vec<Name> {
+fn parse_names(list: &Option<String>) -> Vec<Name> {
     let parts = list.as_deref().unwrap_or_default().split(',');
     parts.filter(|p| !p.is_empty()).map(Name::from).collect()
 }
 
-fn intent(args: &IntentArgs) -> Result<Intent> {
+fn build_intent(args: &IntentArgs) -> Result<Intent> {
     Ok(match args {
-        IntentArgs::Event(a) => event(a)?,
+        IntentArgs::Event(a) => event_intent(a)?,
         IntentArgs::Version(a) => Intent::AddVersion {
-            at: version(&a.at)?,
+            at: parse_version(&a.at)?,
             cost_micro_per_ktoken: a.cost,
             prior_quality: a.quality,
         },
         IntentArgs::Current(a) => Intent::SetCurrent {
-            at: version(&a.at)?,
+            at: parse_version(&a.at)?,
         },
         IntentArgs::Withdraw(a) => Intent::Withdraw {
-            at: version(&a.at)?,
+            at: parse_version(&a.at)?,
         },
-        IntentArgs::Workspace(a) => workspace(a)?,
+        IntentArgs::Workspace(a) => workspace_intent(a)?,
         IntentArgs::Pool(a) => Intent::PutPool {
             name: a.name.as_str().into(),
             pool: Pool {
-                kind: choice(
+                kind: parse_choice(
                     "kind",
                     &a.kind,
                     &[("engine", PoolKind::Engine), ("service", PoolKind::Service)],
@@ -246,14 +248,14 @@
             name: a.name.as_str().into(),
             operator: Operator {
                 key_hash: a.key_hash.as_str().into(),
-                role: choice(
+                role: parse_choice(
                     "role",
                     &a.role,
                     &[("viewer", Role::Viewer), ("editor", Role::Editor)],
                 )?,
             },
         },
-        IntentArgs::Roll(a) => roll(a)?,
+        IntentArgs::Roll(a) => roll_intent(a)?,
         IntentArgs::Halt(a) => Intent::Halt {
             rollout: a.id.as_str().into(),
             reason: a.reason.clone(),
@@ -261,7 +263,7 @@
     })
 }
 
-fn choice<T: Copy>(field: &str, text: &str, choices: &[(&str, T)]) -> Result<T> {
+fn parse_choice<T: Copy>(field: &str, text: &str, choices: &[(&str, T)]) -> Result<T> {
     let found = choices.iter().find(|(name, _)| *name == text);
     found.map(|(_, value)| *value).ok_or_else(|| {
         let all: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
@@ -269,16 +271,19 @@
     })
 }
 
-fn event(args: &EventArgs) -> Result<Intent> {
+fn event_intent(args: &EventArgs) -> Result<Intent> {
     Ok(Intent::CreateEvent {
         name: args.name.as_str().into(),
-        start_ms: at_time(&args.start)?,
-        workspaces: names(&args.workspaces),
+        start_ms: parse_time(&args.start)?,
+        workspaces: parse_names(&args.workspaces),
     })
 }
 
-fn workspace(args: &WorkspaceArgs) -> Result<Intent> {
-    let allowed: Result<Vec<VersionRef>> = names(&args.allow).iter().map(|n| version(n)).collect();
+fn workspace_intent(args: &WorkspaceArgs) -> Result<Intent> {
+    let allowed: Result<Vec<VersionRef>> = parse_names(&args.allow)
+        .iter()
+        .map(|n| parse_version(n))
+        .collect();
     Ok(Intent::PutWorkspace {
         name: args.name.as_str().into(),
         workspace: Workspace {
@@ -286,18 +291,18 @@
             quality_target: args.target,
             weight: args.weight,
             allowed: allowed?,
-            services: names(&args.services),
+            services: parse_names(&args.services),
         },
     })
 }
 
-fn roll(args: &RollArgs) -> Result<Intent> {
+fn roll_intent(args: &RollArgs) -> Result<Intent> {
     Ok(Intent::Roll {
         workspace: args.workspace.as_str().into(),
-        to: version(&args.at)?,
+        to: parse_version(&args.at)?,
         target_permille: args.share.saturating_mul(10),
         start_ms: time::now_ms(),
-        until_ms: at_time(&args.before)?,
+        until_ms: parse_time(&args.before)?,
         steps: args.steps,
         guard: Guard {
             quality_floor: args.floor,
--- a/crates/ivyweir/src/show.rs
+++ b/crates/ivyweir/src/show.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Formats responses as text tables.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +10,9 @@
 
 use crate::time;
 
-/// Lays out rows under a head, each column as wide as its widest cell.
-fn table(head: &[&str], rows: Vec<Vec<String>>) -> String {
-    let mut widths: Vec<usize> = head.iter().map(|h| h.len()).collect();
+/// Formats rows under a header, with each column as wide as its widest cell.
+fn table(header: &[&str], rows: Vec<Vec<String>>) -> String {
+    let mut widths: Vec<usize> = header.iter().map(|h| h.len()).collect();
     for row in &rows {
         for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
@@ -26,14 +26,14 @@
             .collect();
         padded.join("  ").trim_end().to_owned() + "\n"
     };
-    let mut text = line(head.to_vec());
+    let mut text = line(header.to_vec());
     for row in &rows {
         text += &line(row.iter().map(String::as_str).collect());
     }
     text
 }
 
-/// The system as one box sees it.
+/// Formats the state of the system as seen by one box.
 pub fn status(status: &Status) -> String {
     let proof = status
         .proof_age_ms
@@ -82,13 +82,13 @@
         ]
     });
     text += "\n";
-    let head = [
+    let header = [
         "VERSION", "ANSWERS", "FAILED", "RATED", "QUALITY", "VERDICT",
     ];
-    text + &table(&head, exposure.collect())
+    text + &table(&header, exposure.collect())
 }
 
-/// Events.
+/// Formats the events.
 pub fn events(events: &BTreeMap<Name, Event>) -> String {
     let rows = events.iter().map(|(name, e)| {
         let workspaces: Vec<&str> = e.workspaces.iter().map(|w| w.as_ref()).collect();
@@ -101,7 +101,7 @@
     table(&["EVENT", "START", "WORKSPACES"], rows.collect())
 }
 
-/// Models and versions.
+/// Formats models and their versions.
 pub fn models(models: &BTreeMap<Name, Model>) -> String {
     let rows = models.iter().flat_map(|(model, entry)| {
         entry.versions.iter().map(move |(name, v)| {
@@ -124,7 +124,7 @@
     )
 }
 
-/// Workspaces and quality targets.
+/// Formats workspaces and their quality targets.
 pub fn workspaces(workspaces: &BTreeMap<Name, Workspace>) -> String {
     let rows = workspaces.iter().map(|(name, w)| {
         let allowed: Vec<String> = w.allowed.iter().map(ToString::to_string).collect();
@@ -141,7 +141,7 @@
     )
 }
 
-/// Accepted changes.
+/// Formats the audit entries of accepted changes.
 pub fn audit(entries: &[AuditEntry]) -> String {
     let rows = entries.iter().map(|e| {
         vec![
@@ -158,7 +158,7 @@
     )
 }
 
-/// What each workspace owes.
+/// Formats the bill of each workspace; costs are converted from millionths.
 pub fn bill(bill: &Bill) -> String {
     let rows = bill.workspaces.iter().map(|(name, t)| {
         vec![
@@ -171,7 +171,7 @@
     table(&["WORKSPACE", "REQUESTS", "TOKENS", "COST"], rows.collect())
 }
 
-/// A plan.
+/// Formats a plan.
 pub fn plan(plan: &Plan) -> String {
     let mut text = format!(
         "plan {} on generation {}: {}\nchanges:\n",
@@ -189,33 +189,33 @@
     text + "nothing changes until it is confirmed\n"
 }
 
-/// What a box knows of a plan.
+/// Formats the result of a plan check.
 pub fn plan_check(check: &PlanCheck) -> String {
-    let yes = |is: bool| if is { "yes" } else { "no" };
+    let yes_no = |value: bool| if value { "yes" } else { "no" };
     format!(
         "genuine: {}, applied: {}, still fits: {}\n",
-        yes(check.genuine),
-        yes(check.applied),
-        yes(check.applicable)
+        yes_no(check.genuine),
+        yes_no(check.applied),
+        yes_no(check.applicable)
     )
 }
 
-/// A confirm that was accepted.
-pub fn confirmed(reply: &ConfirmReply) -> String {
+/// Formats the response to a confirmation that applied a plan; empty for other responses.
+pub fn confirm_reply(reply: &ConfirmReply) -> String {
     match reply {
         ConfirmReply::Applied {
             generation,
             rebased,
         } => {
-            let rebased = if *rebased {
-                ", rebased on changes made meanwhile"
+            let suffix = if *rebased {
+                ", rebased on changes made since the plan was created"
             } else {
                 ""
             };
-            format!("accepted as generation {generation}{rebased}\n")
+            format!("accepted as generation {generation}{suffix}\n")
         }
         ConfirmReply::AlreadyApplied { generation } => {
-            format!("accepted before; generation {generation} is in force\n")
+            format!("already accepted; generation {generation} is in force\n")
         }
         ConfirmReply::PlanOutdated { .. } | ConfirmReply::Unknown { .. } => String::new(),
     }
--- a/crates/ivyweir/src/time.rs
+++ b/crates/ivyweir/src/time.rs
@@ -2,28 +2,28 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since the epoch, now.
+/// The current time in milliseconds since the Unix epoch.
 pub fn now_ms() -> u64 {
     epoch_ms(SystemTime::now())
 }
 
 fn epoch_ms(time: SystemTime) -> u64 {
-    let since = time.duration_since(UNIX_EPOCH);
-    since.unwrap_or_default().as_millis() as u64
+    let elapsed = time.duration_since(UNIX_EPOCH);
+    elapsed.unwrap_or_default().as_millis() as u64
 }
 
-/// Reads a time; none if it is written otherwise.
+/// Parses an absolute time or an offset from `now_ms`; `None` if the text is neither.
 pub fn parse(text: &str, now_ms: u64) -> Option<u64> {
     match text.strip_prefix('+') {
-        Some(span) => {
-            let span = humantime::parse_duration(span).ok()?;
-            now_ms.checked_add(u64::try_from(span.as_millis()).ok()?)
+        Some(offset) => {
+            let offset = humantime::parse_duration(offset).ok()?;
+            now_ms.checked_add(u64::try_from(offset.as_millis()).ok()?)
         }
         None => humantime::parse_rfc3339(text).ok().map(epoch_ms),
     }
 }
 
-/// Writes a time.
+/// Formats a time in milliseconds since the Unix epoch as RFC 3339 in UTC.
 pub fn format(at_ms: u64) -> String {
     let time = UNIX_EPOCH + Duration::from_millis(at_ms);
     humantime::format_rfc3339_seconds(time).to_string()
--- a/crates/ivyweir/tests/cli.rs
+++ b/crates/ivyweir/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line as its users type it.
+//! Tests of the command line binary.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,12 +10,12 @@
     command.args(args).output().expect("it runs")
 }
 
-fn text(output: &Output) -> String {
+fn stdout_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// A file of its own in the temporary folder.
-fn file(name: &str, content: &str) -> PathBuf {
+/// Writes a file in the temporary folder under a name unique to this process.
+fn write_temp_file(name: &str, content: &str) -> PathBuf {
     let name = format!("ivyweir-cli-{}-{name}", std::process::id());
     let path = std::env::temp_dir().join(name);
     fs::write(&path, content).expect("the temporary folder can be written");
@@ -25,14 +25,14 @@
 #[test]
 fn every_option_of_the_help_is_taken() {
     let output = ivyweir(&["--help"]);
-    let help = text(&output) + &String::from_utf8_lossy(&output.stderr);
+    let help = stdout_text(&output) + &String::from_utf8_lossy(&output.stderr);
     let (own, _commands) = help.split_once("Available commands").expect("two parts");
     let options = own.lines().filter_map(|line| {
         let option = line
             .split_whitespace()
             .find(|word| word.starts_with("--"))?;
         let (_, rest) = line.split_once(option)?;
-        // The name of a value stands one space behind the option, its text further off.
+        // A value name follows the option after one space, the help text after more.
         let takes_value = rest.starts_with(' ') && !rest.starts_with("  ");
         Some((option.to_owned(), takes_value))
     });
@@ -53,7 +53,7 @@
     }
 }
 
-const LOG: &str = r#"
+const DECISION_LOG: &str = r#"
 {"epoch_ms":1000,"at_ms":1,"event":"store_lost","topic":"site"}
 {"epoch_ms":2500,"at_ms":9,"event":"refused","request_id":"r1","reason":"not_current"}
 {"epoch_ms":2000,"at_ms":8,"event":"admitted","request_id":"r1","route":"notes"}
@@ -63,19 +63,20 @@
 
 #[test]
 fn a_requests_story_is_told_in_order_with_what_the_box_believed() {
-    let log = file("story.log", LOG);
+    let log = write_temp_file("story.log", DECISION_LOG);
     let output = ivyweir(&["--json", "explain", "r1", &log.display().to_string()]);
-    let story: Vec<serde_json::Value> = serde_json::from_str(&text(&output)).expect("JSON");
-    let events: Vec<&str> = story
+    let trace: Vec<serde_json::Value> = serde_json::from_str(&stdout_text(&output)).expect("JSON");
+    let events: Vec<&str> = trace
         .iter()
         .filter_map(|step| step["event"].as_str())
         .collect();
     assert_eq!(events, ["store_lost", "admitted", "refused"]);
-    let _left_behind = fs::remove_file(log);
+    let _ignored = fs::remove_file(log);
 }
 
-/// Two boxes' logs: a request ended an upstream at each, and was refused then; another one had no part in it.
-const ENDS: [&str; 2] = [
+/// Logs of two boxes. `try-1` ended an upstream on the first box; `try-2`, with the same content, was
+/// refused as quarantined on the second. `other` has different content and must not be listed.
+const UPSTREAM_END_LOGS: [&str; 2] = [
     r#"{"at_ms":1,"epoch_ms":1000,"event":"admitted","request_id":"try-1","fingerprint":"aa"}
 {"at_ms":2,"epoch_ms":1001,"event":"stream_broke","request_id":"try-1","upstream":"u1"}
 {"at_ms":3,"epoch_ms":1002,"event":"upstream_ended","upstream":"u1","fingerprints":["aa","bb"]}
@@ -91,13 +92,13 @@
 fn a_quarantined_request_is_explained_by_earlier_tries_over_a_folder_of_logs() {
     let folder = std::env::temp_dir().join(format!("ivyweir-logs-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("the temporary folder can be written");
-    for (number, log) in ENDS.iter().enumerate() {
+    for (number, log) in UPSTREAM_END_LOGS.iter().enumerate() {
         let path = folder.join(format!("box-{number}.log"));
         fs::write(path, log).expect("the file can be written");
     }
     let output = ivyweir(&["--json", "explain", "try-2", &folder.display().to_string()]);
-    let story: Vec<serde_json::Value> = serde_json::from_str(&text(&output)).expect("JSON");
-    let steps: Vec<(&str, &str)> = story
+    let trace: Vec<serde_json::Value> = serde_json::from_str(&stdout_text(&output)).expect("JSON");
+    let steps: Vec<(&str, &str)> = trace
         .iter()
         .filter_map(|step| Some((step["event"].as_str()?, step["relation"].as_str()?)))
         .collect();
@@ -110,24 +111,24 @@
         ("refused", "own"),
     ];
     assert_eq!(steps, expected);
-    let table = text(&ivyweir(&[
+    let table = stdout_text(&ivyweir(&[
         "explain",
         "try-2",
         &folder.display().to_string(),
     ]));
     assert!(table.contains("request_id=try-1"), "{table}");
-    let _left_behind = fs::remove_dir_all(folder);
+    let _ignored = fs::remove_dir_all(folder);
 }
 
 #[test]
 fn a_request_without_lines_is_said_so() {
-    let log = file("none.log", LOG);
+    let log = write_temp_file("none.log", DECISION_LOG);
     let output = ivyweir(&["explain", "r9", &log.display().to_string()]);
-    assert!(text(&output).starts_with("no line of that request"));
-    let _left_behind = fs::remove_file(log);
+    assert!(stdout_text(&output).starts_with("no log line for that request"));
+    let _ignored = fs::remove_file(log);
 }
 
-const GATEWAY: &str = r#"{
+const GATEWAY_SETTINGS: &str = r#"{
   "box_name": "b1", "hall": "h1", "caller_addr": "127.0.0.1:1", "ready_addr": "127.0.0.1:2",
   "metrics_addr": "127.0.0.1:3", "peer_addr": "127.0.0.1:4", "store_addr": "127.0.0.1:5",
   "machine": {"memory_mb": 110, "max_fds": 4100},
@@ -136,27 +137,27 @@
 }"#;
 
 macro_rules! settings {
-    ($($name:ident: $from:expr => $to:expr, says $says:expr;)*) => {$(
+    ($($name:ident: $from:expr => $to:expr, reports $expected:expr;)*) => {$(
         #[test]
         fn $name() {
-            let path = file(stringify!($name), &GATEWAY.replace($from, $to));
+            let path = write_temp_file(stringify!($name), &GATEWAY_SETTINGS.replace($from, $to));
             let output = ivyweir(&["check", "--gateway", &path.display().to_string()]);
-            let said = text(&output) + &String::from_utf8_lossy(&output.stderr);
-            assert!(said.contains($says), "{said}");
-            let _left_behind = fs::remove_file(path);
+            let messages = stdout_text(&output) + &String::from_utf8_lossy(&output.stderr);
+            assert!(messages.contains($expected), "{messages}");
+            let _ignored = fs::remove_file(path);
         }
     )*};
 }
 
 settings! {
-    good_settings_are_said_so: "b1" => "b2", says ": ok";
-    an_unknown_field_is_named: "\"hall\"" => "\"hal\"", says "hal";
-    a_missing_field_is_named: "\"memory_mb\": 110," => "", says "memory_mb";
+    good_settings_are_said_so: "b1" => "b2", reports ": ok";
+    an_unknown_field_is_named: "\"hall\"" => "\"hal\"", reports "hal";
+    a_missing_field_is_named: "\"memory_mb\": 110," => "", reports "memory_mb";
     a_weight_below_nothing_is_named:
-        "\"machine\"" => "\"policy\": {\"far_engine_ms\": -1}, \"machine\"", says "policy.far_engine_ms";
+        "\"machine\"" => "\"policy\": {\"far_engine_ms\": -1}, \"machine\"", reports "policy.far_engine_ms";
     a_confidence_out_of_range_is_named:
-        "\"machine\"" => "\"policy\": {\"confidence_floor\": 101}, \"machine\"", says "policy.confidence_floor";
+        "\"machine\"" => "\"policy\": {\"confidence_floor\": 101}, \"machine\"", reports "policy.confidence_floor";
     an_unknown_choice_is_named:
-        "\"machine\"" => "\"policy\": {\"unproven_keys\": \"drop\"}, \"machine\"", says "drop";
-    a_bound_of_nothing_is_named: "\"leaving_ms\": 2000" => "\"leaving_ms\": 0", says "bounds.leaving_ms";
+        "\"machine\"" => "\"policy\": {\"unproven_keys\": \"drop\"}, \"machine\"", reports "drop";
+    a_bound_of_nothing_is_named: "\"leaving_ms\": 2000" => "\"leaving_ms\": 0", reports "bounds.leaving_ms";
 }
