--- a/crates/ivyweird/src/audit.rs
+++ b/crates/ivyweird/src/audit.rs
@@ -1,6 +1,6 @@
 //! The audit trail: the configuration holds the newest entries, archive objects the older ones.
 
-use ivyweir_platform::{Expect, Result};
+use ivyweir_platform::{Precondition, Result};
 use ivyweir_policy::{AuditEntry, Config};
 
 use crate::document_sync::CONFIG_OBJECT;
@@ -25,7 +25,7 @@
     );
     let body = serde_json::to_vec(entries).expect("audit entries can always be serialized as JSON");
     node.metrics.count_store_call("audit_write");
-    node.store.put(&name, &body, Expect::Absent).map(drop)
+    node.store.put(&name, &body, Precondition::Absent).map(drop)
 }
 
 /// Reads all entries, oldest first and without duplicates.
--- a/crates/ivyweird/src/confirm.rs
+++ b/crates/ivyweird/src/confirm.rs
@@ -2,7 +2,7 @@
 //! outcome is known.
 
 use ivyweir_operator::ConfirmReply;
-use ivyweir_platform::{ErrorKind, Expect, PutOutcome};
+use ivyweir_platform::{ErrorKind, Precondition, PutOutcome};
 use ivyweir_policy::{Config, Plan, freshness, take_excess_audit_entries};
 
 use crate::clock::Clock;
@@ -88,7 +88,7 @@
     node.metrics.count_store_call("config_write");
     match node
         .store
-        .put(CONFIG_OBJECT, &body, Expect::Revision(revision))
+        .put(CONFIG_OBJECT, &body, Precondition::Revision(revision))
     {
         Ok(PutOutcome::Written { .. }) => {
             document_sync::apply_config(node, &body, Some(node.clock.now_ms()));
@@ -136,8 +136,8 @@
 
 fn moved_reply(node: &Node, plan: &Plan, base: &Config) -> ConfirmReply {
     match Plan::create(base, plan.intent.clone(), node.settings.fleet_key()) {
-        Ok(fresh) => ConfirmReply::Moved {
-            fresh: Box::new(fresh),
+        Ok(fresh) => ConfirmReply::PlanOutdated {
+            new_plan: Box::new(fresh),
         },
         Err(e) => ConfirmReply::Unknown {
             detail: format!("the intent does not apply to the current configuration: {e}"),
--- a/crates/ivyweird/src/document_sync.rs
+++ b/crates/ivyweird/src/document_sync.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ivyweir_peer::{BOX_LIST_DOCUMENT, CONFIG_DOCUMENT, pb};
-use ivyweir_platform::{Expect, Object, PutOutcome, Watched};
+use ivyweir_platform::{Object, Precondition, PutOutcome, WatchOutcome};
 use ivyweir_policy::membership::Health;
 use ivyweir_policy::{BoxState, Config, Operator, Role, SessionKey, hash};
 
@@ -59,11 +59,11 @@
             .store
             .watch(CONFIG_OBJECT, seen_revision, WATCH_TIMEOUT_MS)
         {
-            Ok(Watched::Unchanged) => node
+            Ok(WatchOutcome::Unchanged) => node
                 .config
                 .record_proof(seen_generation, Some(requested_ms)),
-            Ok(Watched::Absent) => create_initial_config(node),
-            Ok(Watched::Changed(object)) => {
+            Ok(WatchOutcome::Absent) => create_initial_config(node),
+            Ok(WatchOutcome::Changed(object)) => {
                 seen_revision = object.revision;
                 seen_generation = apply_stored_config(node, &object, requested_ms);
             }
@@ -92,9 +92,11 @@
 fn repair_store(node: &Node, revision: u64) {
     let current = node.current();
     node.metrics.count_store_call("config_repair");
-    let put = node
-        .store
-        .put(CONFIG_OBJECT, &current.body, Expect::Revision(revision));
+    let put = node.store.put(
+        CONFIG_OBJECT,
+        &current.body,
+        Precondition::Revision(revision),
+    );
     if let Ok(PutOutcome::Written { .. }) = put {
         log::warn!(
             "the store contained an older configuration; restored generation {}",
@@ -110,7 +112,9 @@
     if current.config.generation > 0 {
         node.metrics.count_store_call("config_repair");
         // The next watch shows whether the write succeeded.
-        let _seen_by_next_watch = node.store.put(CONFIG_OBJECT, &current.body, Expect::Absent);
+        let _seen_by_next_watch = node
+            .store
+            .put(CONFIG_OBJECT, &current.body, Precondition::Absent);
         return;
     }
     let Some(key_hash) = node.settings.bootstrap_operator_key_hash.clone() else {
@@ -131,7 +135,7 @@
     // The next watch shows whether this write or that of another box succeeded.
     let _seen_by_next_watch = node
         .store
-        .put(CONFIG_OBJECT, &initial.to_vec(), Expect::Absent);
+        .put(CONFIG_OBJECT, &initial.to_vec(), Precondition::Absent);
 }
 
 /// Generates a random key for session tokens.
@@ -210,7 +214,7 @@
             continue;
         }
         node.metrics.count_store_call("box_list");
-        match node.box_source.boxes() {
+        match node.box_source.box_list() {
             Ok(body) => {
                 apply_box_list(node, &body);
                 node.pause(BOX_LIST_INTERVAL);
@@ -289,7 +293,7 @@
 
 /// Records the encoded size of a sent and a received digest in the metrics.
 pub fn record_digest_bytes(node: &Node, digests: [&pb::Digest; 2]) {
-    let bytes = digests.map(|d| ivyweir_peer::encoded_bytes(d) as u64);
+    let bytes = digests.map(|d| ivyweir_peer::encoded_len(d) as u64);
     node.metrics.digest_bytes.add(bytes.iter().sum(), &[]);
 }
 
--- a/crates/ivyweird/src/idempotency.rs
+++ b/crates/ivyweird/src/idempotency.rs
@@ -6,7 +6,7 @@
 
 use ivyweir_caller::Reply;
 use ivyweir_peer::pb;
-use ivyweir_platform::{ErrorKind, Expect, PutOutcome};
+use ivyweir_platform::{ErrorKind, Precondition, PutOutcome};
 use ivyweir_policy::claim::{
     self, Authority, BeginOutcome, Claim, ClaimOutcome, Incarnation, Journal,
 };
@@ -268,7 +268,7 @@
         match try_claim(node, &object, request) {
             Ok(Some(claimed)) => return claimed,
             Ok(None) => {}
-            Err(ErrorKind::Unknown) => {}
+            Err(ErrorKind::OutcomeUnknown) => {}
             Err(_) => return ClaimResult::NotWritten,
         }
     }
@@ -285,12 +285,12 @@
     node.metrics.count_store_call("claim_read");
     let stored = node.claim_store.get(object).map_err(|e| e.kind())?;
     let (mut journal, expect) = match &stored {
-        None => (Journal::default(), Expect::Absent),
+        None => (Journal::default(), Precondition::Absent),
         Some(object) => {
             let journal = serde_json::from_slice(&object.body);
             (
-                journal.map_err(|_| ErrorKind::Invalid)?,
-                Expect::Revision(object.revision),
+                journal.map_err(|_| ErrorKind::InvalidResponse)?,
+                Precondition::Revision(object.revision),
             )
         }
     };
--- a/crates/ivyweird/src/lease.rs
+++ b/crates/ivyweird/src/lease.rs
@@ -4,7 +4,7 @@
 //! before another box may take over. Another box takes over once it has observed the same revision
 //! for the whole term by its own clock.
 
-use ivyweir_platform::{Expect, ObjectStore, PutOutcome};
+use ivyweir_platform::{ObjectStore, Precondition, PutOutcome};
 use ivyweir_policy::claim::Incarnation;
 use serde::{Deserialize, Serialize};
 
@@ -69,13 +69,13 @@
             return;
         };
         let Some(object) = found else {
-            self.write(store, requested_ms, 1, 0, Expect::Absent);
+            self.write(store, requested_ms, 1, 0, Precondition::Absent);
             return;
         };
         let Ok(stored) = serde_json::from_slice::<LeaseRecord>(&object.body) else {
             return;
         };
-        let expect = Expect::Revision(object.revision);
+        let expect = Precondition::Revision(object.revision);
         if stored.holder == self.local {
             self.write(
                 store,
@@ -101,7 +101,7 @@
         requested_ms: u64,
         epoch: u64,
         renewals: u64,
-        expect: Expect,
+        expect: Precondition,
     ) {
         let stored = LeaseRecord {
             holder: self.local.clone(),
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -7,7 +7,7 @@
 
 use ivyweir_engine::{Engine, HttpEngine};
 use ivyweir_peer::Client;
-use ivyweir_platform::{BoxSource, HttpPlatform, ObjectStore};
+use ivyweir_platform::{BoxListSource, HttpPlatform, ObjectStore};
 use ivyweir_policy::claim::Incarnation;
 use ivyweir_policy::freshness::{self, Freshness, FreshnessEvidence};
 use ivyweir_policy::membership::{GossipTiming, Member, MemberTable};
@@ -50,7 +50,7 @@
     /// The same object store with a shorter timeout, for calls that a caller waits for.
     pub claim_store: Arc<dyn ObjectStore>,
     /// Source of the box list.
-    pub box_source: Arc<dyn BoxSource>,
+    pub box_source: Arc<dyn BoxListSource>,
     /// Client for engines.
     pub engine: Arc<dyn Engine>,
     /// Client for services other than engines.
--- a/crates/ivyweird/src/operator_api.rs
+++ b/crates/ivyweird/src/operator_api.rs
@@ -4,7 +4,7 @@
 
 use ivyweir_caller::{Handler, Incoming, Reply};
 use ivyweir_operator::{
-    BoxStatus, ExposureStatus, PlanCheck, Problem, RolloutStatus, Status, UpstreamStatus,
+    BoxStatus, ErrorBody, ExposureStatus, PlanCheck, RolloutStatus, Status, UpstreamStatus,
 };
 use ivyweir_policy::freshness::Freshness;
 use ivyweir_policy::membership::Health;
@@ -67,8 +67,8 @@
 impl Handler for OperatorApi {
     fn handle(&self, mut incoming: Incoming) {
         let reply = self.route(&mut incoming).unwrap_or_else(|error| {
-            let problem = Problem {
-                problem: error.problem,
+            let problem = ErrorBody {
+                message: error.problem,
             };
             json_reply(error.status, &problem)
         });
@@ -163,7 +163,7 @@
         PlanCheck {
             genuine: plan.verify(self.node.settings.fleet_key()).is_ok(),
             applied: plan.is_applied(&current.config),
-            fits: plan.apply(&current.config, "nobody", 0).is_ok(),
+            applicable: plan.apply(&current.config, "nobody", 0).is_ok(),
         }
     }
 
@@ -204,9 +204,9 @@
         Freshness::Partitioned => "blind",
     };
     Status {
-        seen_from: node.incarnation.box_name.clone(),
+        reporting_box: node.incarnation.box_name.clone(),
         generation: current.config.generation,
-        sight: freshness.to_owned(),
+        freshness: freshness.to_owned(),
         proof_age_ms: node.config.proof_age_ms(node.clock.now_ms()),
         boxes: boxes(node),
         upstreams: upstreams(node),
