--- a/crates/ivyweird/src/document_sync.rs
+++ b/crates/ivyweird/src/document_sync.rs
@@ -112,9 +112,9 @@
     if current.config.generation > 0 {
         node.metrics.count_store_call("config_repair");
         // The next watch shows whether the write succeeded.
-        let _seen_by_next_watch = node
-            .store
-            .put(CONFIG_OBJECT, &current.body, Precondition::Absent);
+        let _seen_by_next_watch =
+            node.store
+                .put(CONFIG_OBJECT, &current.body, Precondition::Absent);
         return;
     }
     let Some(key_hash) = node.settings.bootstrap_operator_key_hash.clone() else {
@@ -133,9 +133,9 @@
     initial.session_keys.push(new_session_key());
     node.metrics.count_store_call("config_create");
     // The next watch shows whether this write or that of another box succeeded.
-    let _seen_by_next_watch = node
-        .store
-        .put(CONFIG_OBJECT, &initial.to_vec(), Precondition::Absent);
+    let _seen_by_next_watch =
+        node.store
+            .put(CONFIG_OBJECT, &initial.to_vec(), Precondition::Absent);
 }
 
 /// Generates a random key for session tokens.
