--- a/crates/ivyweir-policy/tests/gateway_quarantine.rs
+++ b/crates/ivyweir-policy/tests/gateway_quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused after upstreams ended under them, and which are not.
+//! Tests which requests are quarantined after upstreams ended while handling them, and which are not.
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::quarantine::{
@@ -7,7 +7,7 @@
 };
 use proptest::prelude::*;
 
-fn request(name: &str) -> Fingerprint {
+fn fingerprint_of(name: &str) -> Fingerprint {
     Fingerprint::of(&RequestContent {
         method: "POST",
         host: "studio.example",
@@ -17,7 +17,7 @@
     })
 }
 
-/// An end at `at_ms` of an upstream that the request had been sent to `ran_ms` before.
+/// The end at `at_ms` of an upstream to which the request was sent `ran_ms` earlier.
 fn end(upstream: u64, at_ms: i64, ran_ms: i64) -> UpstreamEnd {
     UpstreamEnd {
         upstream,
@@ -27,7 +27,7 @@
     }
 }
 
-fn witness(fingerprint: Fingerprint, end: UpstreamEnd) -> EndObservation {
+fn observation_of(fingerprint: Fingerprint, end: UpstreamEnd) -> EndObservation {
     EndObservation {
         fingerprint,
         end,
@@ -35,38 +35,38 @@
     }
 }
 
-/// Lets upstreams end, each with the requests that were there.
+/// Builds a ledger from upstream ends, each with the requests in flight at that upstream.
 fn ledger(ends: &[(u64, i64, i64, &[&str])]) -> Ledger {
     let mut ledger = Ledger::default();
-    for (upstream, at_ms, ran_ms, there) in ends {
+    for (upstream, at_ms, ran_ms, in_flight) in ends {
         let end = end(*upstream, *at_ms, *ran_ms);
-        let there: Vec<_> = there
+        let observations: Vec<_> = in_flight
             .iter()
-            .map(|name| witness(request(name), end))
+            .map(|name| observation_of(fingerprint_of(name), end))
             .collect();
-        ledger.upstream_ended(&there);
+        ledger.upstream_ended(&observations);
     }
     ledger
 }
 
-fn refused(ledger: &Ledger, names: &[&'static str]) -> Vec<&'static str> {
-    let refused = names
+fn quarantined_names(ledger: &Ledger, names: &[&'static str]) -> Vec<&'static str> {
+    let quarantined = names
         .iter()
-        .filter(|name| ledger.is_quarantined(request(name)));
-    refused.copied().collect()
+        .filter(|name| ledger.is_quarantined(fingerprint_of(name)));
+    quarantined.copied().collect()
 }
 
-macro_rules! ends {
-    ($($name:ident: $ends:expr => $refused:expr;)*) => {$(
+macro_rules! quarantine_cases {
+    ($($name:ident: $ends:expr => $quarantined:expr;)*) => {$(
         #[test]
         fn $name() {
             let ledger = ledger(&$ends);
-            assert_eq!(refused(&ledger, &["harm", "b", "c"]), $refused as [&str; _]);
+            assert_eq!(quarantined_names(&ledger, &["harm", "b", "c"]), $quarantined as [&str; _]);
         }
     )*};
 }
 
-ends! {
+quarantine_cases! {
     two_ends_are_too_few: [(1, 100, 50, &["harm"]), (2, 200, 50, &["harm"])] => [];
     three_ends_one_after_the_other: [(1, 100, 50, &["harm"]), (2, 160, 50, &["harm"]), (3, 220, 50, &["harm"])] => ["harm"];
     three_ends_far_apart: [(1, 100, 50, &["harm"]), (2, 60_000, 50, &["harm"]), (3, 1_800_000, 50, &["harm"])] => ["harm"];
@@ -93,34 +93,34 @@
             try_hash: n,
             ..end(u64::from(n), 100 + i64::from(n), 50)
         };
-        ledger.upstream_ended(&[witness(request("harm"), end)]);
+        ledger.upstream_ended(&[observation_of(fingerprint_of("harm"), end)]);
     }
-    assert!(ledger.is_quarantined(request("harm")));
+    assert!(ledger.is_quarantined(fingerprint_of("harm")));
 }
 
 #[test]
 fn ends_at_one_moment_of_a_request_that_was_answered_before_are_one_loss() {
     let mut ledger = Ledger::default();
-    let mut lose = |upstream: u64, at_ms: i64| {
-        let loss = EndObservation {
+    let mut record_end = |upstream: u64, at_ms: i64| {
+        let observation = EndObservation {
             completed_at_ms: Some(20),
-            ..witness(request("often"), end(upstream, at_ms, 200))
+            ..observation_of(fingerprint_of("often"), end(upstream, at_ms, 200))
         };
-        ledger.upstream_ended(&[loss]);
-        ledger.is_quarantined(request("often"))
+        ledger.upstream_ended(&[observation]);
+        ledger.is_quarantined(fingerprint_of("often"))
     };
-    assert!(!lose(1, 100));
-    assert!(!lose(2, 110));
-    assert!(!lose(3, 140));
-    // A second loss of many, and a third.
-    assert!(!lose(4, 5_000));
-    assert!(!lose(5, 5_010));
-    assert!(lose(6, 9_000));
+    assert!(!record_end(1, 100));
+    assert!(!record_end(2, 110));
+    assert!(!record_end(3, 140));
+    // A second group of simultaneous ends counts as one loss, and a later end is the third.
+    assert!(!record_end(4, 5_000));
+    assert!(!record_end(5, 5_010));
+    assert!(record_end(6, 9_000));
 }
 
 #[test]
 fn an_innocent_request_at_the_ends_of_two_harmful_ones_shields_neither() {
-    // Each harmful one has three ends, and the innocent one was at two of each.
+    // Each harmful request is in flight at three ends alone and at two more together with the innocent `c`.
     let ledger = ledger(&[
         (1, 100, 50, &["harm", "c"]),
         (2, 200, 50, &["harm", "c"]),
@@ -133,7 +133,7 @@
         (9, 900, 50, &["b"]),
         (10, 1_000, 50, &["b"]),
     ]);
-    assert_eq!(refused(&ledger, &["harm", "b"]), ["harm", "b"]);
+    assert_eq!(quarantined_names(&ledger, &["harm", "b"]), ["harm", "b"]);
 }
 
 #[test]
@@ -143,29 +143,30 @@
         (2, 200, 50, &["harm", "b"]),
         (3, 300, 50, &["harm", "b"]),
     ]);
-    let verdicts = ledger.upstream_ended(&[witness(request("harm"), end(4, 400, 50))]);
-    assert_eq!(verdicts.released, [request("b")]);
-    assert_eq!(refused(&ledger, &["harm", "b"]), ["harm"]);
+    let verdicts =
+        ledger.upstream_ended(&[observation_of(fingerprint_of("harm"), end(4, 400, 50))]);
+    assert_eq!(verdicts.released, [fingerprint_of("b")]);
+    assert_eq!(quarantined_names(&ledger, &["harm", "b"]), ["harm"]);
 }
 
 #[test]
 fn a_whole_answer_clears_what_was_before() {
     let mut ledger = ledger(&[(1, 100, 50, &["b"]), (2, 200, 50, &["b"])]);
-    ledger.completed(request("b"), 250);
-    assert!(!ledger.is_suspect(request("b")));
-    ledger.upstream_ended(&[witness(request("b"), end(3, 300, 20))]);
-    // Word of an earlier end that comes late changes nothing.
-    ledger.upstream_ended(&[witness(request("b"), end(4, 240, 20))]);
-    ledger.upstream_ended(&[witness(request("b"), end(5, 400, 20))]);
-    assert!(!ledger.is_quarantined(request("b")));
-    ledger.upstream_ended(&[witness(request("b"), end(6, 500, 20))]);
-    assert!(ledger.is_quarantined(request("b")));
+    ledger.completed(fingerprint_of("b"), 250);
+    assert!(!ledger.is_suspect(fingerprint_of("b")));
+    ledger.upstream_ended(&[observation_of(fingerprint_of("b"), end(3, 300, 20))]);
+    // A late report of an end before the completed response has no effect.
+    ledger.upstream_ended(&[observation_of(fingerprint_of("b"), end(4, 240, 20))]);
+    ledger.upstream_ended(&[observation_of(fingerprint_of("b"), end(5, 400, 20))]);
+    assert!(!ledger.is_quarantined(fingerprint_of("b")));
+    ledger.upstream_ended(&[observation_of(fingerprint_of("b"), end(6, 500, 20))]);
+    assert!(ledger.is_quarantined(fingerprint_of("b")));
 }
 
 #[test]
 fn a_request_that_no_upstream_ended_under_is_not_remembered() {
     let mut ledger = Ledger::default();
-    ledger.completed(request("b"), 100);
+    ledger.completed(fingerprint_of("b"), 100);
     assert_eq!(ledger.last_change(), 0);
 }
 
@@ -178,7 +179,7 @@
     ]);
     assert!(ledger.sweep(300 + 3_599_999).is_empty());
     let verdicts = ledger.sweep(300 + 3_600_000);
-    assert_eq!(verdicts.released, [request("harm")]);
+    assert_eq!(verdicts.released, [fingerprint_of("harm")]);
 }
 
 #[test]
@@ -189,12 +190,12 @@
         (3, 300, 50, &["harm"]),
     ]);
     for n in 0..20_000_u64 {
-        let once = request(&format!("once-{n}"));
-        ledger.upstream_ended(&[witness(once, end(10 + n, 1_000 + n as i64, 10))]);
+        let once = fingerprint_of(&format!("once-{n}"));
+        ledger.upstream_ended(&[observation_of(once, end(10 + n, 1_000 + n as i64, 10))]);
     }
-    assert!(ledger.is_quarantined(request("harm")));
-    let (news, _) = ledger.updates_since(0, usize::MAX, 30_000);
-    assert!(news.len() <= 1_024, "{} entries", news.len());
+    assert!(ledger.is_quarantined(fingerprint_of("harm")));
+    let (updates, _) = ledger.updates_since(0, usize::MAX, 30_000);
+    assert!(updates.len() <= 1_024, "{} entries", updates.len());
 }
 
 #[test]
@@ -236,8 +237,8 @@
 fn who_is_at_an_upstream_and_who_just_left() {
     let upstream = Name::from("u");
     let mut runs = RunRegistry::default();
-    let sent = |name: &str| RunKey {
-        fingerprint: request(name),
+    let run_key = |name: &str| RunKey {
+        fingerprint: fingerprint_of(name),
         try_hash: 1,
     };
     for (name, began_ms) in [
@@ -248,144 +249,157 @@
         ("long gone", 30),
         ("just taken away", 40),
     ] {
-        runs.begin(&upstream, sent(name), began_ms);
+        runs.begin(&upstream, run_key(name), began_ms);
     }
-    runs.end(&upstream, sent("answered"), RunEnd::Settled, 1_000);
-    runs.end(&upstream, sent("long gone"), RunEnd::ConnectionLost, 1_000);
-    runs.end(&upstream, sent("broken"), RunEnd::ConnectionLost, 4_000);
-    runs.end(&upstream, sent("taken away"), RunEnd::Cancelled, 4_400);
-    runs.end(&upstream, sent("just taken away"), RunEnd::Cancelled, 4_900);
+    runs.end(&upstream, run_key("answered"), RunEnd::Settled, 1_000);
+    runs.end(
+        &upstream,
+        run_key("long gone"),
+        RunEnd::ConnectionLost,
+        1_000,
+    );
+    runs.end(&upstream, run_key("broken"), RunEnd::ConnectionLost, 4_000);
+    runs.end(&upstream, run_key("taken away"), RunEnd::Cancelled, 4_400);
+    runs.end(
+        &upstream,
+        run_key("just taken away"),
+        RunEnd::Cancelled,
+        4_900,
+    );
     runs.sweep(4_500);
-    let there = runs.upstream_ended(&upstream, 5_000);
-    let found = there.iter().map(|left| (left.key.fingerprint, left.at_ms));
+    let in_flight = runs.upstream_ended(&upstream, 5_000);
+    let found = in_flight.iter().map(|run| (run.key.fingerprint, run.at_ms));
     let mut found: Vec<_> = found.collect();
     found.sort_unstable();
     let mut expected = vec![
-        (request("there"), 5_000),
-        (request("broken"), 4_000),
-        (request("just taken away"), 4_900),
+        (fingerprint_of("there"), 5_000),
+        (fingerprint_of("broken"), 4_000),
+        (fingerprint_of("just taken away"), 4_900),
     ];
     expected.sort_unstable();
     assert_eq!(found, expected);
     assert!(runs.upstream_ended(&upstream, 5_000).is_empty());
 }
 
-/// A box of a model fleet: its clock began at another moment.
-struct ModelBox {
+/// A simulated box whose clock is offset from those of the others.
+struct SimBox {
     name: Name,
     ledger: Ledger,
-    exchange: LedgerSync,
-    clock_ahead_ms: i64,
+    sync: LedgerSync,
+    clock_offset_ms: i64,
 }
 
-fn model_boxes(count: usize) -> Vec<ModelBox> {
-    let model = |n: usize| ModelBox {
+fn sim_boxes(count: usize) -> Vec<SimBox> {
+    let new_box = |n: usize| SimBox {
         name: format!("box-{n}").into(),
         ledger: Ledger::default(),
-        exchange: LedgerSync::new(n as u64 + 1),
-        clock_ahead_ms: 977 * n as i64,
+        sync: LedgerSync::new(n as u64 + 1),
+        clock_offset_ms: 977 * n as i64,
     };
-    (0..count).map(model).collect()
+    (0..count).map(new_box).collect()
 }
 
-/// Box `a` tells box `b` its news; the message or its answer may be lost.
-fn talk(boxes: &mut [ModelBox], (a, b): (usize, usize), lost: (bool, bool), now_ms: i64) {
-    let mut tell = |from: usize, to: usize, is_lost: bool| {
+/// Sends the updates of box `a` to box `b`, which replies with its own; `lost` drops the message or the reply.
+fn exchange_updates(boxes: &mut [SimBox], (a, b): (usize, usize), lost: (bool, bool), now_ms: i64) {
+    let mut send = |from: usize, to: usize, is_lost: bool| {
         let name = boxes[to].name.clone();
-        let own_ms = now_ms + boxes[from].clock_ahead_ms;
-        let teller = &mut boxes[from];
-        let news = teller.exchange.update_for(&name, &teller.ledger, own_ms);
+        let local_ms = now_ms + boxes[from].clock_offset_ms;
+        let sender = &mut boxes[from];
+        let update = sender.sync.update_for(&name, &sender.ledger, local_ms);
         let from = boxes[from].name.clone();
-        if let (Some(news), false) = (news, is_lost) {
-            let hearer = &mut boxes[to];
-            let own_ms = now_ms + hearer.clock_ahead_ms;
-            hearer
-                .exchange
-                .receive(&from, news, &mut hearer.ledger, own_ms);
+        if let (Some(update), false) = (update, is_lost) {
+            let receiver = &mut boxes[to];
+            let local_ms = now_ms + receiver.clock_offset_ms;
+            receiver
+                .sync
+                .receive(&from, update, &mut receiver.ledger, local_ms);
         }
         is_lost
     };
-    if !tell(a, b, lost.0) {
-        tell(b, a, lost.1);
+    if !send(a, b, lost.0) {
+        send(b, a, lost.1);
     }
 }
 
 proptest! {
-    /// Whatever order boxes talk in and whichever messages are lost, all come to refuse the same requests once
-    /// each has heard of the others again.
+    /// All boxes converge on the same quarantined requests once each has synchronized with the others again,
+    /// whatever the order of earlier exchanges and whichever messages were lost.
     #[test]
     fn boxes_agree_whatever_order_they_talk_in(
         ends in prop::collection::vec((0_usize..5, 0_u64..12, 0_i64..5_000, 0_u8..6), 1..40),
         talks in prop::collection::vec((0_usize..5, 0_usize..5, any::<bool>(), any::<bool>()), 0..60),
         answered in prop::collection::vec((0_usize..5, 0_u8..6, 0_i64..5_000), 0..3),
     ) {
-        let mut boxes = model_boxes(5);
+        let mut boxes = sim_boxes(5);
         let mut talks = talks.into_iter();
-        for (seer, upstream, at_ms, who) in ends {
-            let at_ms = at_ms + boxes[seer].clock_ahead_ms;
-            let seen = witness(request(&format!("r{who}")), end(upstream, at_ms, 40));
-            boxes[seer].ledger.upstream_ended(&[seen]);
+        for (observer, upstream, at_ms, who) in ends {
+            let at_ms = at_ms + boxes[observer].clock_offset_ms;
+            let observation = observation_of(fingerprint_of(&format!("r{who}")), end(upstream, at_ms, 40));
+            boxes[observer].ledger.upstream_ended(&[observation]);
             if let Some((a, b, first, second)) = talks.next() && a != b {
-                talk(&mut boxes, (a, b), (first, second), 6_000);
+                exchange_updates(&mut boxes, (a, b), (first, second), 6_000);
             }
         }
-        for (seer, who, at_ms) in answered {
-            let at_ms = at_ms + boxes[seer].clock_ahead_ms;
-            boxes[seer].ledger.completed(request(&format!("r{who}")), at_ms);
+        for (observer, who, at_ms) in answered {
+            let at_ms = at_ms + boxes[observer].clock_offset_ms;
+            boxes[observer].ledger.completed(fingerprint_of(&format!("r{who}")), at_ms);
         }
         for _ in 0..4 {
             for a in 0..5 {
                 for b in 0..a {
-                    talk(&mut boxes, (a, b), (false, false), 6_100);
+                    exchange_updates(&mut boxes, (a, b), (false, false), 6_100);
                 }
             }
         }
-        let of = |model: &ModelBox| {
-            let mut all: Vec<_> = model.ledger.quarantined().collect();
+        let quarantined = |sim: &SimBox| {
+            let mut all: Vec<_> = sim.ledger.quarantined().collect();
             all.sort_unstable();
             all
         };
-        for model in &boxes[1..] {
-            prop_assert_eq!(of(model), of(&boxes[0]));
+        for sim in &boxes[1..] {
+            prop_assert_eq!(quarantined(sim), quarantined(&boxes[0]));
         }
     }
 }
 
 #[test]
 fn boxes_that_know_nothing_new_tell_nothing() {
-    let mut boxes = model_boxes(2);
-    let news = |boxes: &mut [ModelBox], from: usize, to: usize| {
+    let mut boxes = sim_boxes(2);
+    let next_update = |boxes: &mut [SimBox], from: usize, to: usize| {
         let name = boxes[to].name.clone();
-        let teller = &mut boxes[from];
-        teller.exchange.update_for(&name, &teller.ledger, 0)
+        let sender = &mut boxes[from];
+        sender.sync.update_for(&name, &sender.ledger, 0)
     };
-    assert!(news(&mut boxes, 0, 1).is_some(), "that it has begun");
-    assert_eq!(news(&mut boxes, 0, 1), None);
+    assert!(
+        next_update(&mut boxes, 0, 1).is_some(),
+        "the first update announces the sender"
+    );
+    assert_eq!(next_update(&mut boxes, 0, 1), None);
     boxes[0]
         .ledger
-        .upstream_ended(&[witness(request("b"), end(1, 0, 10))]);
+        .upstream_ended(&[observation_of(fingerprint_of("b"), end(1, 0, 10))]);
     for _ in 0..3 {
-        talk(&mut boxes, (0, 1), (false, false), 0);
+        exchange_updates(&mut boxes, (0, 1), (false, false), 0);
     }
-    assert!(boxes[1].ledger.is_suspect(request("b")));
-    assert_eq!(news(&mut boxes, 0, 1), None);
-    assert_eq!(news(&mut boxes, 1, 0), None);
+    assert!(boxes[1].ledger.is_suspect(fingerprint_of("b")));
+    assert_eq!(next_update(&mut boxes, 0, 1), None);
+    assert_eq!(next_update(&mut boxes, 1, 0), None);
 }
 
 #[test]
 fn a_box_that_starts_anew_is_told_everything() {
-    let mut boxes = model_boxes(2);
+    let mut boxes = sim_boxes(2);
     for n in 0..3 {
         let end = end(n, 200 * n as i64, 10);
         boxes[0]
             .ledger
-            .upstream_ended(&[witness(request("harm"), end)]);
+            .upstream_ended(&[observation_of(fingerprint_of("harm"), end)]);
     }
-    talk(&mut boxes, (0, 1), (false, false), 700);
-    talk(&mut boxes, (0, 1), (false, false), 700);
+    exchange_updates(&mut boxes, (0, 1), (false, false), 700);
+    exchange_updates(&mut boxes, (0, 1), (false, false), 700);
     boxes[1].ledger = Ledger::default();
-    boxes[1].exchange = LedgerSync::new(77);
-    talk(&mut boxes, (1, 0), (false, false), 900);
-    talk(&mut boxes, (1, 0), (false, false), 900);
-    assert!(boxes[1].ledger.is_quarantined(request("harm")));
+    boxes[1].sync = LedgerSync::new(77);
+    exchange_updates(&mut boxes, (1, 0), (false, false), 900);
+    exchange_updates(&mut boxes, (1, 0), (false, false), 900);
+    assert!(boxes[1].ledger.is_quarantined(fingerprint_of("harm")));
 }
