--- a/crates/ivyweir-standins/examples/load/main.rs
+++ b/crates/ivyweir-standins/examples/load/main.rs
@@ -1,11 +1,12 @@
-//! Load and experiments: `cargo run --release --example load -- --help`.
+//! Load generator and experiments: `cargo run --release --example load -- --help`.
 //!
-//! Open-loop load on a world of real boxes and stand-in engines. `--experiment` runs scenarios
-//! against baselines, `--overhead` compares with calling the engines directly, `--size` measures
-//! what a box costs at rest in fleets of several sizes.
+//! Sends open-loop load to real boxes in front of stand-in engines. `--experiment` runs scenarios
+//! against baselines, `--overhead` compares with calling the engines directly, `--recover` measures
+//! recovery times on nine boxes, `--size` measures the resource use of an idle box in fleets of
+//! several sizes.
 
 mod cost;
-mod drive;
+mod driver;
 mod overhead;
 mod recover;
 mod report;
@@ -17,37 +18,47 @@
 use gumdrop::Options;
 use ivyweir_standins::build_binaries;
 
-/// What the tool was asked for.
+/// Command-line options.
 #[derive(Debug, Options)]
 pub struct Args {
-    #[options(help = "print this text")]
+    #[options(help = "print this help")]
     help: bool,
-    #[options(help = "scenarios against baselines, in one run", no_short)]
+    #[options(
+        help = "run the scenarios, each with its baselines, in one run",
+        no_short
+    )]
     experiment: bool,
-    #[options(help = "added time against the engines called directly", no_short)]
+    #[options(
+        help = "measure the latency added over calling the engines directly",
+        no_short
+    )]
     overhead: bool,
-    #[options(help = "times to recover on nine boxes", no_short)]
+    #[options(help = "measure recovery times on nine boxes", no_short)]
     recover: bool,
     #[options(
-        help = "cost of a box at rest, for fleets of these sizes: 3,9,18",
+        help = "measure the resource use of an idle box in fleets of these sizes, such as 3,9,18",
         meta = "LIST",
         no_short
     )]
     size: Option<String>,
-    #[options(help = "wavecast or line", default = "wavecast", meta = "NAME")]
+    #[options(
+        help = "deployment to run: wavecast or line",
+        default = "wavecast",
+        meta = "NAME"
+    )]
     deployment: String,
-    #[options(help = "one scenario only", meta = "NAME")]
+    #[options(help = "run only this scenario", meta = "NAME")]
     scenario: Option<String>,
-    #[options(help = "one policy only", meta = "NAME")]
+    #[options(help = "run only this policy", meta = "NAME")]
     policy: Option<String>,
-    #[options(help = "seconds that are measured", default = "8")]
+    #[options(help = "length of the measured phase in seconds", default = "8")]
     seconds: u64,
-    #[options(help = "requests a second before the surge", default = "24")]
+    #[options(help = "requests per second before the surge", default = "24")]
     rate: u64,
-    #[options(help = "seed of arrivals and prompts", default = "1")]
+    #[options(help = "seed for arrivals and prompts", default = "1")]
     seed: u64,
     #[options(
-        help = "folder for tables and plots",
+        help = "output directory for tables and plots",
         default = "target/load",
         meta = "DIR"
     )]
--- a/crates/ivyweir-standins/examples/load/report.rs
+++ b/crates/ivyweir-standins/examples/load/report.rs
@@ -1,4 +1,4 @@
-//! Tables and plots.
+//! Result tables in Markdown and latency plots in SVG.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -8,42 +8,44 @@
 use plotters::prelude::*;
 
 use crate::Args;
-use crate::drive::Done;
-use crate::scenario::target;
+use crate::driver::RequestResult;
+use crate::scenario::quality_target;
 
-type Failure = Box<dyn std::error::Error>;
+type DynError = Box<dyn std::error::Error>;
 
-/// What a run brought.
-pub struct Measured {
-    /// The scenario.
+/// Raw measurements of one run.
+pub struct RunResult {
+    /// Name of the scenario.
     pub scenario: String,
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// All requests.
-    pub done: Vec<Done>,
-    /// What was billed.
+    /// Results of all requests sent in the measured phase.
+    pub results: Vec<RequestResult>,
+    /// Cost billed for the run, in millionths of the billing unit.
     pub cost_micro: u64,
-    /// Engine calls on the version that turned bad.
-    pub exposed: usize,
-    /// Share of prefix blocks found in engines' caches.
+    /// Number of engine calls to the degraded version after it was degraded.
+    pub exposed_calls: usize,
+    /// Hit rate of the engines' prefix caches, in blocks.
     pub hit_rate: f64,
-    /// Time for each request.
+    /// Deadline of each request.
     pub deadline_ms: u64,
 }
 
-/// One line of a table.
+/// A table row: the raw measurements and the statistics derived from them.
 pub struct Row {
-    /// What was run.
-    pub measured: Measured,
-    whole: usize,
-    good: usize,
+    /// Raw measurements.
+    pub run: RunResult,
+    completed: usize,
+    /// Number of requests that got a valid answer within the deadline.
+    goodput: usize,
     mean_quality: f64,
-    meeting: (usize, usize),
+    targets_met: (usize, usize),
     first_token: Percentiles,
     total: Percentiles,
-    refusals: BTreeMap<String, usize>,
+    errors: BTreeMap<String, usize>,
     late: usize,
-    small_share: f64,
+    /// Share of completed requests among those of all workspaces but 0, which sends the flood.
+    others_served: f64,
 }
 
 #[derive(Clone, Copy, Default)]
@@ -53,10 +55,10 @@
     p99_ms: u64,
 }
 
-/// A histogram of microseconds, up to two minutes.
+/// Returns an empty histogram for values from 1 µs to two minutes, to three significant digits.
 pub fn histogram() -> Histogram<u64> {
-    const MOST_US: u64 = 120_000_000;
-    Histogram::new_with_bounds(1, MOST_US, 3).expect("the bounds are valid")
+    const MAX_US: u64 = 120_000_000;
+    Histogram::new_with_bounds(1, MAX_US, 3).expect("the bounds are valid")
 }
 
 fn percentiles(times: impl Iterator<Item = Duration>) -> Percentiles {
@@ -72,74 +74,75 @@
     }
 }
 
-/// Condenses a run.
-pub fn summarise(measured: Measured) -> Row {
-    let done = &measured.done;
-    let whole: Vec<&Done> = done.iter().filter(|d| d.outcome.whole).collect();
-    let deadline = Duration::from_millis(measured.deadline_ms);
-    let good = whole
+/// Computes the statistics of a run.
+pub fn summarize(run: RunResult) -> Row {
+    let results = &run.results;
+    let completed: Vec<&RequestResult> = results.iter().filter(|r| r.outcome.whole).collect();
+    let deadline = Duration::from_millis(run.deadline_ms);
+    let goodput = completed
         .iter()
-        .filter(|d| d.outcome.total <= deadline && d.quality.is_some())
+        .filter(|r| r.outcome.total <= deadline && d.quality.is_some())
         .count();
-    let qualities: Vec<f64> = whole.iter().filter_map(|d| d.quality).collect();
-    let mut refusals = BTreeMap::new();
-    for refused in done.iter().filter(|d| !d.outcome.whole) {
-        let code = if refused.outcome.code.is_empty() {
+    let qualities: Vec<f64> = completed.iter().filter_map(|r| r.quality).collect();
+    let mut errors = BTreeMap::new();
+    for failed in results.iter().filter(|d| !d.outcome.whole) {
+        let code = if failed.outcome.code.is_empty() {
             "no_answer"
         } else {
-            &refused.outcome.code
+            &failed.outcome.code
         };
-        *refusals.entry(code.to_owned()).or_default() += 1;
+        *errors.entry(code.to_owned()).or_default() += 1;
     }
-    let others: Vec<&Done> = done.iter().filter(|d| d.workspace != 0).collect();
-    let others_whole = others.iter().filter(|d| d.outcome.whole).count();
+    let others: Vec<&RequestResult> = results.iter().filter(|r| r.workspace != 0).collect();
+    let others_completed = others.iter().filter(|r| r.outcome.whole).count();
     Row {
-        whole: whole.len(),
-        good,
+        completed: completed.len(),
+        goodput,
         mean_quality: qualities.iter().sum::<f64>() / qualities.len().max(1) as f64,
-        meeting: meeting(&whole),
+        targets_met: count_targets_met(&completed),
         first_token: percentiles(
-            whole
+            completed
                 .iter()
-                .filter(|d| d.stream)
-                .map(|d| d.outcome.first_token),
+                .filter(|r| r.stream)
+                .map(|r| r.outcome.first_token),
         ),
-        total: percentiles(whole.iter().map(|d| d.outcome.total)),
-        refusals,
-        late: done.iter().filter(|d| d.late).count(),
-        small_share: others_whole as f64 / others.len().max(1) as f64,
-        measured,
+        total: percentiles(completed.iter().map(|r| r.outcome.total)),
+        errors,
+        late: results.iter().filter(|r| r.late).count(),
+        others_served: others_completed as f64 / others.len().max(1) as f64,
+        run,
     }
 }
 
-/// Targets whose workspaces together reach them, of those with enough answers to tell.
+/// Number of quality targets that were met, and number of targets with enough answers to judge.
 ///
-/// One workspace has too few answers in a short run; those with the same target are taken together.
-fn meeting(whole: &[&Done]) -> (usize, usize) {
-    const ENOUGH: usize = 30;
+/// A single workspace gets too few answers in a short run, so the answers of all workspaces with
+/// the same target are averaged.
+fn count_targets_met(completed: &[&RequestResult]) -> (usize, usize) {
+    const MIN_ANSWERS: usize = 30;
     let mut by_target: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
-    for done in whole {
-        let target_milli = (target(done.workspace) * 1_000.0) as u64;
+    for result in completed {
+        let target_milli = (quality_target(result.workspace) * 1_000.0) as u64;
         by_target
             .entry(target_milli)
             .or_default()
-            .extend(done.quality);
+            .extend(result.quality);
     }
-    let told = by_target.iter().filter(|(_, q)| q.len() >= ENOUGH);
+    let judged = by_target.iter().filter(|(_, q)| q.len() >= MIN_ANSWERS);
     let met =
-        told.map(|(milli, q)| q.iter().sum::<f64>() / q.len() as f64 * 1_000.0 >= *milli as f64);
+        judged.map(|(milli, q)| q.iter().sum::<f64>() / q.len() as f64 * 1_000.0 >= *milli as f64);
     met.fold((0, 0), |(met, all), is_met| {
         (met + usize::from(is_met), all + 1)
     })
 }
 
-const HEAD: &str = "| scenario | policy | requests | goodput | cost/req (µ) | quality | targets met | first token p50/p95/p99 ms | whole p50/p95/p99 ms | prefix hits | exposed | others served | refusals |\n|---|---|---|---|---|---|---|---|---|---|---|---|---|";
+const TABLE_HEADER: &str = "| scenario | policy | requests | goodput | cost/req (µ) | quality | targets met | first token p50/p95/p99 ms | whole p50/p95/p99 ms | prefix hits | exposed | others served | refusals |\n|---|---|---|---|---|---|---|---|---|---|---|---|---|";
 
-/// A row as a line of a Markdown table.
-pub fn line(row: &Row) -> String {
-    let m = &row.measured;
-    let refusals: Vec<String> = row
-        .refusals
+/// Formats a row of the Markdown table.
+pub fn table_row(row: &Row) -> String {
+    let run = &row.run;
+    let errors: Vec<String> = row
+        .errors
         .iter()
         .map(|(code, n)| format!("{code} {n}"))
         .collect();
@@ -150,44 +153,41 @@
     };
     format!(
         "| {} | {} | {}{late} | {} ({:.1}%) | {} | {:.3} | {}/{} | {}/{}/{} | {}/{}/{} | {:.1}% | {} | {:.1}% | {} |",
-        m.scenario,
-        m.policy,
-        m.done.len(),
-        row.good,
-        100.0 * row.good as f64 / m.done.len().max(1) as f64,
-        m.cost_micro / (row.whole.max(1) as u64),
+        run.scenario,
+        run.policy,
+        run.results.len(),
+        row.goodput,
+        100.0 * row.goodput as f64 / run.results.len().max(1) as f64,
+        run.cost_micro / (row.completed.max(1) as u64),
         row.mean_quality,
-        row.meeting.0,
-        row.meeting.1,
+        row.targets_met.0,
+        row.targets_met.1,
         row.first_token.p50_ms,
         row.first_token.p95_ms,
         row.first_token.p99_ms,
         row.total.p50_ms,
         row.total.p95_ms,
         row.total.p99_ms,
-        100.0 * m.hit_rate,
-        if m.scenario == "bad_version" {
-            m.exposed.to_string()
+        100.0 * run.hit_rate,
+        if run.scenario == "bad_version" {
+            run.exposed_calls.to_string()
         } else {
             "-".into()
         },
-        100.0 * row.small_share,
-        refusals.join(", "),
+        100.0 * row.others_served,
+        errors.join(", "),
     )
 }
 
-/// Writes the table and the plots.
-pub fn write(args: &Args, rows: &[Row]) -> Result<(), Failure> {
-    let lines: Vec<String> = rows.iter().map(line).collect();
-    let text = format!("{HEAD}\n{}\n", lines.join("\n"));
+/// Writes the table, and plots of the scenarios that were run with more than one policy.
+pub fn write(args: &Args, rows: &[Row]) -> Result<(), DynError> {
+    let lines: Vec<String> = rows.iter().map(table_row).collect();
+    let text = format!("{TABLE_HEADER}\n{}\n", lines.join("\n"));
     let file = args.out.join(format!("{}.md", args.deployment));
     fs::write(&file, text)?;
     println!("table: {}", file.display());
     for scenario in ["steady", "surge"] {
-        let of_scenario: Vec<&Row> = rows
-            .iter()
-            .filter(|r| r.measured.scenario == scenario)
-            .collect();
+        let of_scenario: Vec<&Row> = rows.iter().filter(|r| r.run.scenario == scenario).collect();
         if of_scenario.len() > 1 {
             let path = args.out.join(format!("{}-{scenario}.svg", args.deployment));
             plot(&path, scenario, &of_scenario)?;
@@ -197,13 +197,13 @@
     Ok(())
 }
 
-/// Time to the first token over its quantile, a line per policy.
-fn plot(path: &std::path::Path, scenario: &str, rows: &[&Row]) -> Result<(), Failure> {
+/// Plots the time to first token against the percentile, one curve per policy.
+fn plot(path: &std::path::Path, scenario: &str, rows: &[&Row]) -> Result<(), DynError> {
     let curves: Vec<(String, Vec<(f64, f64)>)> = rows
         .iter()
-        .map(|r| (r.measured.policy.clone(), curve(&r.measured.done)))
+        .map(|r| (r.run.policy.clone(), first_token_curve(&r.run.results)))
         .collect();
-    let most = curves
+    let max_ms = curves
         .iter()
         .flat_map(|(_, c)| c.iter().map(|p| p.1))
         .fold(1.0, f64::max);
@@ -217,14 +217,14 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..100.0, (1.0..most).log_scale())?;
+        .build_cartesian_2d(0.0..100.0, (1.0..max_ms).log_scale())?;
     chart
         .configure_mesh()
         .x_desc("percent of streams")
         .y_desc("ms")
         .draw()?;
-    for (at, (policy, curve)) in curves.into_iter().enumerate() {
-        let colour = Palette99::pick(at).to_rgba();
+    for (index, (policy, curve)) in curves.into_iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
         chart
             .draw_series(LineSeries::new(curve, colour.stroke_width(2)))?
             .label(policy)
@@ -240,16 +240,16 @@
     Ok(())
 }
 
-fn curve(done: &[Done]) -> Vec<(f64, f64)> {
-    let streams = done.iter().filter(|d| d.stream && d.outcome.whole);
+fn first_token_curve(results: &[RequestResult]) -> Vec<(f64, f64)> {
+    let streams = results.iter().filter(|r| r.stream && d.outcome.whole);
     let mut times: Vec<f64> = streams
-        .map(|d| d.outcome.first_token.as_secs_f64() * 1e3)
+        .map(|r| r.outcome.first_token.as_secs_f64() * 1e3)
         .collect();
     times.sort_by(f64::total_cmp);
-    let last = times.len().max(1) as f64;
+    let count = times.len().max(1) as f64;
     times
         .into_iter()
         .enumerate()
-        .map(|(n, t)| (100.0 * n as f64 / last, t.max(1.0)))
+        .map(|(n, t)| (100.0 * n as f64 / count, t.max(1.0)))
         .collect()
 }
--- a/crates/ivyweir-standins/examples/load/scenario.rs
+++ b/crates/ivyweir-standins/examples/load/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios, and the baselines that each is compared with.
+//! Load scenarios, each run with the default policy and with the baselines it is compared to.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -11,40 +11,49 @@
 
 use crate::Args;
 use crate::cost;
-use crate::drive::{self, Arrivals, Done, Plan};
+use crate::driver::{self, Arrivals, RequestResult, Workload};
 use crate::report::{self, Row};
 
-type Failure = Box<dyn std::error::Error>;
+type DynError = Box<dyn std::error::Error>;
 
-/// The deployment's sizes, as the brief gives them; engines run on a quicker clock.
+/// Size of a deployment, as given in the requirements.
+///
+/// The stand-in engines run faster than real ones.
 pub struct Deployment {
     halls: Vec<&'static str>,
     engines: usize,
     services: usize,
-    tokens: (u64, u64),
+    token_range: (u64, u64),
     deadline_ms: u64,
 }
 
 impl Deployment {
-    /// A deployment by its name.
-    pub fn named(name: &str) -> Result<Self, Failure> {
+    /// Returns the deployment called `name`.
+    pub fn from_name(name: &str) -> Result<Self, DynError> {
         let halls = ["hall-a", "hall-b", "hall-c", "hall-d"];
-        let (boxes, engines, tokens, deadline_ms) = match name {
+        let (box_count, engines, token_range, deadline_ms) = match name {
             "wavecast" => (9, 18, (16, 64), 6_000),
             "line" => (7, 12, (8, 24), 2_500),
-            _ => return Err(format!("deployment {name:?}, expected wavecast or line").into()),
+            _ => {
+                return Err(
+                    format!("unknown deployment {name:?}, expected wavecast or line").into(),
+                );
+            }
         };
         Ok(Self {
-            halls: (0..boxes).map(|at| halls[at % halls.len()]).collect(),
+            halls: (0..box_count)
+                .map(|index| halls[index % halls.len()])
+                .collect(),
             engines,
             services: 4,
-            tokens,
+            token_range,
             deadline_ms,
         })
     }
 }
 
-/// Versions, prices and hidden skills.
+/// Model versions: name, price in millionths of the billing unit per 1000 tokens, prior quality
+/// given to the fleet, and actual skill of the stand-in engines, which is hidden from the fleet.
 const VERSIONS: [(&str, u64, f64, f64); 4] = [
     ("small@v1", 500, 0.55, 0.45),
     ("medium@v1", 1_800, 0.70, 0.68),
@@ -52,18 +61,18 @@
     ("large@v2", 5_000, 0.85, 0.97),
 ];
 
-/// Qualities that workspaces ask for, in turn.
-const TARGETS: [f64; 4] = [0.50, 0.65, 0.75, 0.85];
+/// Quality targets, assigned to the workspaces in rotation.
+const QUALITY_TARGETS: [f64; 4] = [0.50, 0.65, 0.75, 0.85];
 
-/// The quality that a workspace asks for.
-pub fn target(workspace: usize) -> f64 {
-    TARGETS[workspace % TARGETS.len()]
+/// Quality target of the workspace with this index.
+pub fn quality_target(workspace: usize) -> f64 {
+    QUALITY_TARGETS[workspace % QUALITY_TARGETS.len()]
 }
 
-const WORKSPACES: usize = 10;
+const WORKSPACE_COUNT: usize = 10;
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// A scenario and the policies it is run with.
+/// A scenario and the names of the policies it is run with.
 struct Scenario {
     name: &'static str,
     policies: &'static [&'static str],
@@ -105,19 +114,19 @@
     },
 ];
 
-fn policy_settings(name: &str) -> Result<Value, Failure> {
+fn policy_settings(name: &str) -> Result<Value, DynError> {
     Ok(match name {
         "product" => json!({}),
         "strong" | "cheap" => json!({ "model": name, "cascade": false }),
         "no_cascade" => json!({ "cascade": false }),
         "no_guard" => json!({ "guard": false }),
         "round_robin" | "random" | "least_in_flight" | "two_choices" => json!({ "balance": name }),
-        _ => return Err(format!("policy {name:?} is not known").into()),
+        _ => return Err(format!("unknown policy {name:?}").into()),
     })
 }
 
-/// Runs scenarios with their policies and writes tables and plots.
-pub fn run(args: &Args, binary: &Path) -> Result<(), Failure> {
+/// Runs each selected scenario with each of its policies and writes the table and the plots.
+pub fn run(args: &Args, binary: &Path) -> Result<(), DynError> {
     let mut rows = Vec::new();
     for scenario in &SCENARIOS {
         if args
@@ -132,90 +141,93 @@
                 continue;
             }
             let row = run_one(args, binary, scenario.name, policy)?;
-            println!("{}", report::line(&row));
+            println!("{}", report::table_row(&row));
             rows.push(row);
         }
     }
     report::write(args, &rows)
 }
 
-fn run_one(args: &Args, binary: &Path, scenario: &str, policy: &str) -> Result<Row, Failure> {
-    let deployment = Deployment::named(&args.deployment)?;
-    let world = start(binary, &deployment, policy)?;
-    let callers = drive::callers(&world, WORKSPACES);
-    let plan = |seed: u64, seconds: u64, arrivals: Arrivals| Plan {
+fn run_one(args: &Args, binary: &Path, scenario: &str, policy: &str) -> Result<Row, DynError> {
+    let deployment = Deployment::from_name(&args.deployment)?;
+    let world = start_world(binary, &deployment, policy)?;
+    let callers = driver::callers(&world, WORKSPACE_COUNT);
+    let workload = |seed: u64, seconds: u64, arrivals: Arrivals| Workload {
         seed,
         duration: Duration::from_secs(seconds),
         arrivals,
-        tokens: deployment.tokens,
+        token_range: deployment.token_range,
         deadline_ms: deployment.deadline_ms,
         model: if scenario == "bad_version" {
             "large"
         } else {
             "auto"
         },
-        workspaces: WORKSPACES,
+        workspace_count: WORKSPACE_COUNT,
     };
-    // The fleet learns first, as it would have over days.
+    // Warms the fleet up with unmeasured load; a fleet in service would have learned over days.
     let steady = Arrivals::steady(args.rate * 2);
-    drive::drive(&callers, &plan(args.seed ^ 1, WARM_UP.as_secs(), steady));
-    let (hits_before, looks_before) = cache_use(&world);
+    driver::run(
+        &callers,
+        &workload(args.seed ^ 1, WARM_UP.as_secs(), steady),
+    );
+    let (hits_before, lookups_before) = cache_counters(&world);
     let started_ms = epoch_ms();
-    let started = Instant::now();
-    let engines_now: Vec<Duration> = world.engines.iter().map(|e| e.now()).collect();
+    let started_at = Instant::now();
+    let engine_clocks: Vec<Duration> = world.engines.iter().map(|e| e.now()).collect();
     let arrivals = match scenario {
         "surge" | "third_gone" => Arrivals::surge(args.rate),
         "flood" => Arrivals::flood(args.rate),
         _ => Arrivals::steady(args.rate * 2),
     };
-    let measured = plan(args.seed, args.seconds, arrivals);
-    let surge_at = drive::SURGE_AT;
-    let done: Vec<Done> = thread::scope(|scope| {
-        let driving = scope.spawn(|| drive::drive(&callers, &measured));
-        thread::sleep(surge_at.saturating_sub(started.elapsed()));
-        disturb(&world, scenario);
-        driving.join().expect("the driver does not panic")
+    let measured = workload(args.seed, args.seconds, arrivals);
+    let surge_start = driver::SURGE_START;
+    let results: Vec<RequestResult> = thread::scope(|scope| {
+        let driver = scope.spawn(|| driver::run(&callers, &measured));
+        thread::sleep(surge_start.saturating_sub(started_at.elapsed()));
+        inject_fault(&world, scenario);
+        driver.join().expect("load driver does not panic")
     });
-    let (hits, looks) = cache_use(&world);
-    let exposed = exposed(&world, &engines_now, surge_at);
+    let (hits, lookups) = cache_counters(&world);
+    let exposed_calls = count_exposed_calls(&world, &engine_clocks, surge_start);
     if scenario == "store_out" {
         world.platform.set_faults(PlatformFaults::default());
     }
-    let cost_micro = cost::settled_since(&world, started_ms);
-    Ok(report::summarise(report::Measured {
+    let cost_micro = cost::settled_cost_since(&world, started_ms);
+    Ok(report::summarize(report::RunResult {
         scenario: scenario.to_owned(),
         policy: policy.to_owned(),
-        done,
+        results,
         cost_micro,
-        exposed,
-        hit_rate: (hits - hits_before) as f64 / (looks - looks_before).max(1) as f64,
+        exposed_calls,
+        hit_rate: (hits - hits_before) as f64 / (lookups - lookups_before).max(1) as f64,
         deadline_ms: deployment.deadline_ms,
     }))
 }
 
-fn start(binary: &Path, deployment: &Deployment, policy: &str) -> Result<World, Failure> {
+fn start_world(binary: &Path, deployment: &Deployment, policy: &str) -> Result<World, DynError> {
     let mut spec = WorldSpec::new(
         binary,
         &deployment.halls,
-        (0..deployment.engines).map(|_| engine()).collect(),
+        (0..deployment.engines).map(|_| engine_options()).collect(),
     );
     spec.services = deployment.services;
     spec.policy = Some(policy_settings(policy)?);
-    // The clock is quickened, so the fleet may have its ratings quicker too.
+    // The engines run faster than real ones, so the limit on ratings is raised accordingly.
     spec.limits = Some(json!({ "ratings_per_s": 120 }));
     let world = spec.start()?;
     let versions = VERSIONS.map(|(at, cost, prior, _)| (at, cost, prior));
-    let names: Vec<String> = (0..WORKSPACES).map(drive::workspace).collect();
+    let names: Vec<String> = (0..WORKSPACE_COUNT).map(driver::workspace_name).collect();
     let workspaces: Vec<(&str, f64, u32)> = names
         .iter()
         .enumerate()
-        .map(|(at, n)| (n.as_str(), target(at), 1))
+        .map(|(index, n)| (n.as_str(), quality_target(index), 1))
         .collect();
     world.configure(&versions, &workspaces);
     Ok(world)
 }
 
-fn engine() -> EngineOptions {
+fn engine_options() -> EngineOptions {
     let versions: BTreeMap<String, Behaviour> = VERSIONS
         .iter()
         .map(|(at, _, _, skill)| ((*at).to_owned(), Behaviour::good(*skill)))
@@ -234,8 +246,8 @@
     }
 }
 
-/// What happens at the start of the event.
-fn disturb(world: &World, scenario: &str) {
+/// Injects the fault of the scenario, if it has one.
+fn inject_fault(world: &World, scenario: &str) {
     match scenario {
         "bad_version" => {
             for engine in &world.engines {
@@ -260,20 +272,21 @@
     }
 }
 
-fn cache_use(world: &World) -> (u64, u64) {
+fn cache_counters(world: &World) -> (u64, u64) {
     world
         .engines
         .iter()
         .map(|e| e.cache_use())
-        .fold((0, 0), |(hits, looks), (h, l)| (hits + h, looks + l))
+        .fold((0, 0), |(hits, lookups), (h, l)| (hits + h, lookups + l))
 }
 
-/// Engine calls on the version that turned bad, from then on.
-fn exposed(world: &World, engines_now: &[Duration], after: Duration) -> usize {
+/// Number of engine calls to `large@v1`, the version that `bad_version` degrades, made at or after
+/// the given engine clocks plus `after`.
+fn count_exposed_calls(world: &World, engine_clocks: &[Duration], after: Duration) -> usize {
     world
         .engines
         .iter()
-        .zip(engines_now)
+        .zip(engine_clocks)
         .flat_map(|(engine, now)| {
             let from = *now + after;
             engine
