--- a/crates/ivyweir-standins/examples/load/overhead.rs
+++ b/crates/ivyweir-standins/examples/load/overhead.rs
@@ -1,4 +1,4 @@
-//! The time that a box adds: the same requests through a box and straight to an engine, in turn.
+//! Latency that a box adds: each request is sent through a box and then directly to an engine.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,96 +9,102 @@
 
 use crate::{Args, report};
 
-type Failure = Box<dyn std::error::Error>;
+type DynError = Box<dyn std::error::Error>;
 
-const CALLERS: usize = 4;
-const TOKENS: u64 = 8;
+const CALLER_COUNT: usize = 4;
+const ANSWER_TOKENS: u64 = 8;
 
-/// Times of one way of calling.
-struct Times {
-    whole: Histogram<u64>,
+/// Latency histograms of one path, in microseconds: total time of non-streamed answers, and time to
+/// first token of streamed ones.
+struct Latencies {
+    total: Histogram<u64>,
     first_token: Histogram<u64>,
 }
 
-impl Times {
+impl Latencies {
     fn new() -> Self {
         let histogram = || report::histogram();
         Self {
-            whole: histogram(),
+            total: histogram(),
             first_token: histogram(),
         }
     }
 
-    fn call(&mut self, caller: &Caller, model: &str, prompt: &str) {
+    fn record_call(&mut self, caller: &Caller, model: &str, prompt: &str) {
         let micros = |time: Duration| time.as_micros() as u64;
-        let whole = caller.chat(model, prompt, TOKENS);
-        assert!(whole.whole, "{whole:?}");
-        self.whole.saturating_record(micros(whole.total));
-        let stream = caller.stream(model, prompt, TOKENS);
+        let answer = caller.chat(model, prompt, ANSWER_TOKENS);
+        assert!(answer.whole, "{answer:?}");
+        self.total.saturating_record(micros(answer.total));
+        let stream = caller.stream(model, prompt, ANSWER_TOKENS);
         assert!(stream.whole, "{stream:?}");
         self.first_token
             .saturating_record(micros(stream.first_token));
     }
 
-    fn add(&mut self, other: &Self) {
-        self.whole.add(&other.whole).expect("the same digits");
+    fn merge(&mut self, other: &Self) {
+        self.total
+            .add(&other.total)
+            .expect("histograms have the same bounds");
         self.first_token
             .add(&other.first_token)
-            .expect("the same digits");
+            .expect("histograms have the same bounds");
     }
 }
 
-/// Compares, and prints the differences of percentiles.
-pub fn run(args: &Args, binary: &Path) -> Result<(), Failure> {
+/// Measures both paths and prints a table of their percentiles and the differences.
+pub fn run(args: &Args, binary: &Path) -> Result<(), DynError> {
     let halls = ["hall-a", "hall-b", "hall-c"];
     let engines = (0..4).map(|_| quick_engine(&[("notes@v1", 0.9)])).collect();
     let world = WorldSpec::new(binary, &halls, engines).start()?;
     world.configure(&[("notes@v1", 1_000, 0.9)], &[("studio", 0.5, 1)]);
     let rounds = args.seconds * 40;
-    let (mut through, mut direct) = (Times::new(), Times::new());
+    let (mut via_box, mut direct) = (Latencies::new(), Latencies::new());
     std::thread::scope(|scope| {
-        let workers: Vec<_> = (0..CALLERS)
-            .map(|at| {
-                let boxed = world.caller(at % halls.len(), "studio");
-                let engine = Caller::new(&format!("http://{}", world.engines[at].addr()), "none");
+        let workers: Vec<_> = (0..CALLER_COUNT)
+            .map(|caller_index| {
+                let box_caller = world.caller(caller_index % halls.len(), "studio");
+                let engine_caller = Caller::new(
+                    &format!("http://{}", world.engines[caller_index].addr()),
+                    "none",
+                );
                 scope.spawn(move || {
-                    let (mut through, mut direct) = (Times::new(), Times::new());
+                    let (mut via_box, mut direct) = (Latencies::new(), Latencies::new());
                     for n in 0..rounds {
-                        let prompt = format!("caller {at} request {n}");
-                        through.call(&boxed, "notes@v1", &prompt);
-                        direct.call(&engine, "notes@v1", &prompt);
+                        let prompt = format!("caller {caller_index} request {n}");
+                        via_box.record_call(&box_caller, "notes@v1", &prompt);
+                        direct.record_call(&engine_caller, "notes@v1", &prompt);
                     }
-                    (through, direct)
+                    (via_box, direct)
                 })
             })
             .collect();
         for worker in workers {
-            let (t, d) = worker.join().expect("no worker panics");
-            through.add(&t);
-            direct.add(&d);
+            let (t, d) = worker.join().expect("worker thread does not panic");
+            via_box.merge(&t);
+            direct.merge(&d);
         }
     });
     println!(
-        "{} requests each way, {CALLERS} callers at once",
-        through.whole.len()
+        "{} requests each way, {CALLER_COUNT} callers at once",
+        via_box.total.len()
     );
     println!(
         "| | through a box p50/p99 ms | direct p50/p99 ms | added p50 | added p99 |\n|---|---|---|---|---|"
     );
-    line("whole", &through.whole, &direct.whole);
-    line("first token", &through.first_token, &direct.first_token);
+    print_row("whole", &via_box.total, &direct.total);
+    print_row("first token", &via_box.first_token, &direct.first_token);
     Ok(())
 }
 
-fn line(name: &str, through: &Histogram<u64>, direct: &Histogram<u64>) {
+fn print_row(name: &str, via_box: &Histogram<u64>, direct: &Histogram<u64>) {
     let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1_000.0;
     println!(
         "| {name} | {:.2}/{:.2} | {:.2}/{:.2} | {:.2} | {:.2} |",
-        ms(through, 0.5),
-        ms(through, 0.99),
+        ms(via_box, 0.5),
+        ms(via_box, 0.99),
         ms(direct, 0.5),
         ms(direct, 0.99),
-        ms(through, 0.5) - ms(direct, 0.5),
-        ms(through, 0.99) - ms(direct, 0.99),
+        ms(via_box, 0.5) - ms(direct, 0.5),
+        ms(via_box, 0.99) - ms(direct, 0.99),
     );
 }
--- a/crates/ivyweir-standins/examples/load/recover.rs
+++ b/crates/ivyweir-standins/examples/load/recover.rs
@@ -1,4 +1,5 @@
-//! Times to recover on nine boxes: a change in force, a box killed, an upstream leaving.
+//! Recovery times on nine boxes: time until a configuration change is in force on all boxes, effect
+//! of an upstream that leaves, and effect of a killed box. Also measures the rate of store calls.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -12,84 +13,90 @@
 
 use crate::Args;
 
-type Failure = Box<dyn std::error::Error>;
+type DynError = Box<dyn std::error::Error>;
 
 const HALLS: [&str; 9] = [
     "hall-a", "hall-b", "hall-c", "hall-d", "hall-a", "hall-b", "hall-c", "hall-d", "hall-a",
 ];
-const CALLERS: usize = 12;
-const WATCHED: Duration = Duration::from_secs(6);
-const ROUNDS: usize = 9;
+const CALLER_COUNT: usize = 12;
+const OBSERVATION_PERIOD: Duration = Duration::from_secs(6);
+const CHANGE_COUNT: usize = 9;
 
-/// Measures and prints.
-pub fn run(args: &Args, binary: &Path) -> Result<(), Failure> {
+/// Runs all measurements and prints them as a Markdown table.
+pub fn run(args: &Args, binary: &Path) -> Result<(), DynError> {
     let engines = (0..6).map(|_| quick_engine(&[("notes@v1", 0.9)])).collect();
     let mut world = WorldSpec::new(binary, &HALLS, engines).start()?;
     world.configure(&[("notes@v1", 1_000, 0.9)], &[("studio", 0.5, 1)]);
     thread::sleep(Duration::from_secs(3));
     println!("| what, nine boxes | measured |\n|---|---|");
-    let at_rest = store_calls(&world, || thread::sleep(Duration::from_secs(args.seconds)));
+    let at_rest = store_call_rate(&world, || thread::sleep(Duration::from_secs(args.seconds)));
     println!("| store calls/s at rest | {at_rest:.1} |");
-    let under_load = store_calls(&world, || {
-        under_calls(&world, 0..HALLS.len(), || {
+    let under_load = store_call_rate(&world, || {
+        with_load(&world, 0..HALLS.len(), || {
             thread::sleep(Duration::from_secs(args.seconds))
         });
     });
     println!("| store calls/s under load | {under_load:.1} |");
-    in_force(&world, "store as usual");
+    measure_change(&world, "store as usual");
     world.platform.set_faults(PlatformFaults {
         delay_ms: 300,
         ..PlatformFaults::default()
     });
-    in_force(&world, "each store call 300 ms slower");
+    measure_change(&world, "each store call 300 ms slower");
     world.platform.set_faults(PlatformFaults::default());
-    leaving(&world);
-    killed(&mut world);
+    measure_upstream_leaving(&world);
+    measure_killed_box(&mut world);
     Ok(())
 }
 
-fn store_calls(world: &World, during: impl FnOnce()) -> f64 {
+fn store_call_rate(world: &World, during: impl FnOnce()) -> f64 {
     let total = |c: CallCount| (c.reads + c.watches + c.writes) as f64;
-    let (before, started) = (total(world.platform.count()), Instant::now());
+    let (before, started_at) = (total(world.platform.count()), Instant::now());
     during();
-    (total(world.platform.count()) - before) / started.elapsed().as_secs_f64()
+    (total(world.platform.count()) - before) / started_at.elapsed().as_secs_f64()
 }
 
-fn in_force(world: &World, what: &str) {
-    let mut times_ms: Vec<u128> = (0..ROUNDS)
+fn measure_change(world: &World, condition: &str) {
+    let mut times_ms: Vec<u128> = (0..CHANGE_COUNT)
         .map(|n| {
             let intent = Intent::CreateEvent {
-                name: format!("{what} {n}").into(),
+                name: format!("{condition} {n}").into(),
                 start_ms: 1,
                 workspaces: vec![],
             };
             let operator = world.operator(n % HALLS.len());
-            let plan = operator.plan(&intent).expect("the intent fits");
-            let started = Instant::now();
-            operator.confirm(&plan).expect("the box answers");
+            let plan = operator.plan(&intent).expect("intent can be planned");
+            let started_at = Instant::now();
+            operator
+                .confirm(&plan)
+                .expect("box answers the confirmation");
             world.wait_in_force(plan.base_generation + 1);
-            started.elapsed().as_millis()
+            started_at.elapsed().as_millis()
         })
         .collect();
     times_ms.sort_unstable();
-    let (median, worst) = (times_ms[ROUNDS / 2], times_ms[ROUNDS - 1]);
+    let (median, worst) = (times_ms[CHANGE_COUNT / 2], times_ms[CHANGE_COUNT - 1]);
     println!(
-        "| confirm to in force on all, {what}: median, worst of {ROUNDS} | {median} ms, {worst} ms |"
+        "| confirm to in force on all, {condition}: median, worst of {CHANGE_COUNT} | {median} ms, {worst} ms |"
     );
 }
 
-/// Calls boxes all the time while `during` runs. Returns when, since the start, calls failed.
-fn under_calls(
+/// Sends requests to `boxes` in a closed loop while `during` runs.
+///
+/// Returns the number of requests, and for each failed one its time since the start.
+fn with_load(
     world: &World,
     boxes: std::ops::Range<usize>,
     during: impl FnOnce(),
 ) -> (usize, Vec<Duration>) {
     let (stop, failures) = (AtomicBool::new(false), Mutex::new(Vec::new()));
-    let callers: Vec<_> = boxes.map(|at| world.caller(at, "studio")).collect();
-    let started = Instant::now();
-    let mut calls = 0;
+    let callers: Vec<_> = boxes
+        .map(|box_index| world.caller(box_index, "studio"))
+        .collect();
+    let started_at = Instant::now();
+    let mut request_count = 0;
     thread::scope(|scope| {
-        let workers: Vec<_> = (0..CALLERS)
+        let workers: Vec<_> = (0..CALLER_COUNT)
             .map(|n| {
                 let (stop, failures, caller) = (&stop, &failures, &callers[n % callers.len()]);
                 scope.spawn(move || {
@@ -97,7 +104,10 @@
                     while !stop.load(Ordering::Relaxed) {
                         count += 1;
                         if !caller.chat("notes", &format!("{n} {count}"), 8).whole {
-                            failures.lock().expect("no panic").push(started.elapsed());
+                            failures
+                                .lock()
+                                .expect("worker thread does not panic")
+                                .push(started_at.elapsed());
                         }
                     }
                     count
@@ -106,55 +116,61 @@
             .collect();
         during();
         stop.store(true, Ordering::Relaxed);
-        calls = workers
+        request_count = workers
             .into_iter()
-            .map(|w| w.join().expect("no panic"))
+            .map(|w| w.join().expect("worker thread does not panic"))
             .sum();
     });
-    (calls, failures.into_inner().expect("no panic"))
+    (
+        request_count,
+        failures.into_inner().expect("worker thread does not panic"),
+    )
 }
 
-fn leaving(world: &World) {
+fn measure_upstream_leaving(world: &World) {
     let engine = &world.engines[0];
-    let mut marked = Duration::ZERO;
-    let (calls, failures) = under_calls(world, 0..HALLS.len(), || {
+    let mut marked_at = Duration::ZERO;
+    let (request_count, failures) = with_load(world, 0..HALLS.len(), || {
         thread::sleep(Duration::from_secs(1));
         world.platform.mark_leaving("engine-00");
-        marked = engine.now();
-        thread::sleep(WATCHED);
+        marked_at = engine.now();
+        thread::sleep(OBSERVATION_PERIOD);
     });
-    let last = engine
+    let last_run_at = engine
         .runs()
         .into_iter()
         .map(|r| r.at)
         .max()
         .unwrap_or_default();
-    let after_ms = last.saturating_sub(marked).as_millis();
+    let after_ms = last_run_at.saturating_sub(marked_at).as_millis();
     println!("| upstream marked leaving to its last new request | {after_ms} ms |");
     println!(
-        "| requests failed meanwhile | {} of {calls} |",
+        "| requests failed meanwhile | {} of {request_count} |",
         failures.len()
     );
 }
 
-/// Callers use the eight boxes that stay; what they notice of the ninth is what is measured.
-fn killed(world: &mut World) {
-    let victim = HALLS.len() - 1;
-    let pid = world.up(victim).pid().to_string();
-    let (calls, failures) = under_calls(world, 0..victim, || {
+/// Kills the last box and counts the failed requests of callers that use the other eight boxes.
+fn measure_killed_box(world: &mut World) {
+    let killed_index = HALLS.len() - 1;
+    let pid = world.up(killed_index).pid().to_string();
+    let (request_count, failures) = with_load(world, 0..killed_index, || {
         thread::sleep(Duration::from_secs(1));
-        let sent = std::process::Command::new("kill")
+        let kill_status = std::process::Command::new("kill")
             .args(["-KILL", &pid])
             .status();
-        assert!(sent.is_ok_and(|s| s.success()), "the box is killed");
-        thread::sleep(WATCHED);
+        assert!(
+            kill_status.is_ok_and(|s| s.success()),
+            "kill -KILL {pid} failed"
+        );
+        thread::sleep(OBSERVATION_PERIOD);
     });
-    let last_ms = failures
+    let last_failure_ms = failures
         .iter()
         .max()
         .map_or(0, |t| t.as_millis().saturating_sub(1_000));
     println!(
-        "| a box killed: requests of the other eight that failed, and when the last did | {} of {calls}, {last_ms} ms |",
+        "| a box killed: requests of the other eight that failed, and when the last did | {} of {request_count}, {last_failure_ms} ms |",
         failures.len()
     );
 }
--- a/crates/ivyweir-standins/examples/load/size.rs
+++ b/crates/ivyweir-standins/examples/load/size.rs
@@ -1,4 +1,5 @@
-//! What a box costs at rest, in fleets of several sizes: processor time, memory, bytes, store calls.
+//! Resource use of an idle box in fleets of several sizes: CPU time, memory, bytes exchanged and
+//! store calls.
 
 use std::fs;
 use std::path::Path;
@@ -10,23 +11,23 @@
 
 use crate::Args;
 
-type Failure = Box<dyn std::error::Error>;
+type DynError = Box<dyn std::error::Error>;
 
 const HALLS: [&str; 4] = ["hall-a", "hall-b", "hall-c", "hall-d"];
-const SETTLE: Duration = Duration::from_secs(5);
-/// Clock ticks a second in `/proc`.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// Clock ticks per second of the CPU times in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
 
 #[derive(Clone, Copy, Default)]
-struct Use {
-    ticks: u64,
+struct ResourceUsage {
+    cpu_ticks: u64,
     digest_bytes: f64,
     exchanges: f64,
     load_polls: f64,
 }
 
-/// Measures fleets of these sizes and prints a table.
-pub fn run(args: &Args, binary: &Path, sizes: &str) -> Result<(), Failure> {
+/// Measures a fleet of each size in the comma-separated list `sizes` and prints a table.
+pub fn run(args: &Args, binary: &Path, sizes: &str) -> Result<(), DynError> {
     println!(
         "| boxes | upstreams | core % per box | resident MB per box | digest KB/s per box | exchanges/s per box | load polls/s per box | store calls/s in all | change in force ms (median, worst of 5) |"
     );
@@ -37,10 +38,12 @@
     Ok(())
 }
 
-fn measure(args: &Args, binary: &Path, boxes: usize) -> Result<(), Failure> {
-    let halls: Vec<&'static str> = (0..boxes).map(|at| HALLS[at % HALLS.len()]).collect();
-    let upstreams = boxes * 2;
-    let engines = (0..upstreams)
+fn measure(args: &Args, binary: &Path, box_count: usize) -> Result<(), DynError> {
+    let halls: Vec<&'static str> = (0..box_count)
+        .map(|index| HALLS[index % HALLS.len()])
+        .collect();
+    let upstream_count = box_count * 2;
+    let engines = (0..upstream_count)
         .map(|_| quick_engine(&[("notes@v1", 0.9), ("tags@v1", 0.5)]))
         .collect();
     let world = WorldSpec::new(binary, &halls, engines).start()?;
@@ -48,35 +51,35 @@
         &[("notes@v1", 1_000, 0.9), ("tags@v1", 100, 0.5)],
         &[("studio", 0.5, 1)],
     );
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     let calls_before = world.platform.count();
-    let before: Vec<Use> = world.boxes.iter().flatten().map(read_use).collect();
-    let started = Instant::now();
+    let before: Vec<ResourceUsage> = world.boxes.iter().flatten().map(read_usage).collect();
+    let started_at = Instant::now();
     std::thread::sleep(Duration::from_secs(args.seconds));
-    let elapsed_s = started.elapsed().as_secs_f64();
-    let after: Vec<Use> = world.boxes.iter().flatten().map(read_use).collect();
+    let elapsed_s = started_at.elapsed().as_secs_f64();
+    let after: Vec<ResourceUsage> = world.boxes.iter().flatten().map(read_usage).collect();
     let calls_after = world.platform.count();
-    let per_box = |pick: fn(&Use) -> f64| {
+    let per_box = |pick: fn(&ResourceUsage) -> f64| {
         let sum: f64 = before
             .iter()
             .zip(&after)
             .map(|(b, a)| pick(a) - pick(b))
             .sum();
-        sum / boxes as f64 / elapsed_s
+        sum / box_count as f64 / elapsed_s
     };
     let total = |c: ivyweir_standins::CallCount| (c.reads + c.watches + c.writes) as f64;
-    let store_calls = (total(calls_after) - total(calls_before)) / elapsed_s;
-    let resident: u64 = world
+    let store_calls_per_s = (total(calls_after) - total(calls_before)) / elapsed_s;
+    let resident_bytes: u64 = world
         .boxes
         .iter()
         .flatten()
         .map(BoxProcess::resident_bytes)
         .sum();
-    let (median_ms, worst_ms) = in_force(&world);
+    let (median_ms, worst_ms) = change_times_ms(&world);
     println!(
-        "| {boxes} | {upstreams} | {:.2} | {:.1} | {:.2} | {:.1} | {:.1} | {store_calls:.1} | {median_ms}, {worst_ms} |",
-        per_box(|u| u.ticks as f64) / TICKS_PER_S * 100.0,
-        resident as f64 / boxes as f64 / 1e6,
+        "| {box_count} | {upstream_count} | {:.2} | {:.1} | {:.2} | {:.1} | {:.1} | {store_calls_per_s:.1} | {median_ms}, {worst_ms} |",
+        per_box(|u| u.cpu_ticks as f64) / TICKS_PER_S * 100.0,
+        resident_bytes as f64 / box_count as f64 / 1e6,
         per_box(|u| u.digest_bytes) / 1e3,
         per_box(|u| u.exchanges),
         per_box(|u| u.load_polls),
@@ -84,11 +87,12 @@
     Ok(())
 }
 
-/// Times from a confirm until every box has the change, over a few changes.
-fn in_force(world: &World) -> (u128, u128) {
-    let mut times: Vec<u128> = (0..5)
+/// Median and maximum time from planning a change until it is in force on every box, over five
+/// changes.
+fn change_times_ms(world: &World) -> (u128, u128) {
+    let mut times_ms: Vec<u128> = (0..5)
         .map(|n| {
-            let started = Instant::now();
+            let started_at = Instant::now();
             let intent = Intent::CreateEvent {
                 name: format!("event-{n}").into(),
                 start_ms: 1,
@@ -96,39 +100,39 @@
             };
             let generation = world.change(n % world.boxes.len(), &intent);
             world.wait_in_force(generation);
-            started.elapsed().as_millis()
+            started_at.elapsed().as_millis()
         })
         .collect();
-    times.sort_unstable();
-    (times[2], times[4])
+    times_ms.sort_unstable();
+    (times_ms[2], times_ms[4])
 }
 
-fn read_use(process: &BoxProcess) -> Use {
+fn read_usage(process: &BoxProcess) -> ResourceUsage {
     let metrics = attohttpc::get(format!("{}/metrics", process.caller_url()))
         .send()
         .and_then(|r| r.text())
         .unwrap_or_default();
-    let read = |name: &str| {
+    let metric = |name: &str| {
         let line = metrics.lines().find(|l| l.starts_with(name));
         let value = line.and_then(|l| l.rsplit(' ').next()?.parse().ok());
         value.unwrap_or(0.0)
     };
-    Use {
-        ticks: ticks(process.pid()),
-        digest_bytes: read("ivyweir_digest_bytes"),
-        exchanges: read("ivyweir_exchanges"),
-        load_polls: read("ivyweir_load_polls"),
+    ResourceUsage {
+        cpu_ticks: cpu_ticks(process.pid()),
+        digest_bytes: metric("ivyweir_digest_bytes"),
+        exchanges: metric("ivyweir_exchanges"),
+        load_polls: metric("ivyweir_load_polls"),
     }
 }
 
-/// Processor time of a process, user and system.
-fn ticks(pid: u32) -> u64 {
+/// CPU time of a process in clock ticks, user and system (`utime` and `stime` in `/proc/PID/stat`).
+fn cpu_ticks(pid: u32) -> u64 {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
-    let field = |at: usize| {
+    let field = |index: usize| {
         fields
-            .get(at)
+            .get(index)
             .and_then(|f| f.parse::<u64>().ok())
             .unwrap_or(0)
     };
