--- a/crates/ivyweir-standins/examples/load/report.rs
+++ b/crates/ivyweir-standins/examples/load/report.rs
@@ -81,7 +81,7 @@
     let deadline = Duration::from_millis(run.deadline_ms);
     let goodput = completed
         .iter()
-        .filter(|r| r.outcome.total <= deadline && d.quality.is_some())
+        .filter(|r| r.outcome.total <= deadline && r.quality.is_some())
         .count();
     let qualities: Vec<f64> = completed.iter().filter_map(|r| r.quality).collect();
     let mut errors = BTreeMap::new();
@@ -241,7 +241,7 @@
 }
 
 fn first_token_curve(results: &[RequestResult]) -> Vec<(f64, f64)> {
-    let streams = results.iter().filter(|r| r.stream && d.outcome.whole);
+    let streams = results.iter().filter(|r| r.stream && r.outcome.whole);
     let mut times: Vec<f64> = streams
         .map(|r| r.outcome.first_token.as_secs_f64() * 1e3)
         .collect();
