--- a/crates/ivyweir-policy/tests/gateway_rollout.rs
+++ b/crates/ivyweir-policy/tests/gateway_rollout.rs
@@ -1,4 +1,5 @@
-//! Roll-outs of a pool: shares, sessions, verdicts, and what boxes tell each other.
+//! Tests of pool roll-outs: traffic shares, session assignment, roll-back decisions, and the state
+//! that boxes exchange.
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::canary::{AnswerSample, Span, Tally, add_tally};
@@ -23,7 +24,7 @@
     RolloutState::Running { elapsed_ms }
 }
 
-fn evidence(upstream: &Name, failed: bool, pace_ms: Option<f64>) -> AnswerSample<'_> {
+fn answer_sample(upstream: &Name, failed: bool, pace_ms: Option<f64>) -> AnswerSample<'_> {
     AnswerSample {
         upstream,
         failed,
@@ -37,11 +38,11 @@
     }
 }
 
-/// When answers of these tests are judged.
-const JUDGED_MS: u64 = 90;
+/// Time at which answers are recorded, unless a test uses another.
+const RECORDED_AT_MS: u64 = 90;
 
-fn sessions_on_new(track: &RolloutTracker, now_ms: u64) -> usize {
-    let on_new = |session: &u64| track.side(*session, now_ms) == Side::New;
+fn sessions_on_new(tracker: &RolloutTracker, now_ms: u64) -> usize {
+    let on_new = |session: &u64| tracker.side(*session, now_ms) == Side::New;
     (0..1_000).filter(on_new).count()
 }
 
@@ -49,8 +50,8 @@
     ($($name:ident: at $at_ms:expr => $low:expr, $high:expr;)*) => {$(
         #[test]
         fn $name() {
-            let track = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
-            let on_new = sessions_on_new(&track, $at_ms);
+            let tracker = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
+            let on_new = sessions_on_new(&tracker, $at_ms);
             assert!(($low..=$high).contains(&on_new), "{on_new} of 1000 sessions");
         }
     )*};
@@ -65,35 +66,37 @@
 
 #[test]
 fn a_version_whose_faults_nobody_sees_gets_less_than_its_bound() {
-    let track = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
-    let shares = (0..DURATION_MS).step_by(10).map(|at_ms| track.share(at_ms));
+    let tracker = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
+    let shares = (0..DURATION_MS)
+        .step_by(10)
+        .map(|at_ms| tracker.share(at_ms));
     let mean = shares.sum::<f64>() / (DURATION_MS / 10) as f64;
     assert!(mean < 0.13, "{mean} of all requests");
 }
 
 #[test]
 fn boxes_condemn_together_what_none_sees_enough_of() {
-    let mut tracks = [0, 1, 2, 3].map(|_| RolloutTracker::new(order(running(0), 1), 0));
-    for (n, track) in tracks.iter_mut().enumerate() {
+    let mut trackers = [0, 1, 2, 3].map(|_| RolloutTracker::new(order(running(0), 1), 0));
+    for (n, tracker) in trackers.iter_mut().enumerate() {
         let upstream: Name = format!("u{n}").into();
-        assert!(!track.record_answer(Side::New, &evidence(&upstream, true, None), 13_000));
+        assert!(!tracker.record_answer(Side::New, &answer_sample(&upstream, true, None), 13_000));
     }
     let mut others = Tally::new();
-    for track in &tracks[1..] {
-        add_tally(&mut others, &track.local_tally());
+    for tracker in &trackers[1..] {
+        add_tally(&mut others, &tracker.local_tally());
     }
-    assert!(tracks[0].set_remote_tally(others, 13_100));
-    assert_eq!(tracks[0].duty(13_099), RolloutDuty::None);
-    assert_eq!(tracks[0].duty(13_100), RolloutDuty::RollBack);
+    assert!(trackers[0].set_remote_tally(others, 13_100));
+    assert_eq!(trackers[0].duty(13_099), RolloutDuty::None);
+    assert_eq!(trackers[0].duty(13_100), RolloutDuty::RollBack);
 }
 
 #[test]
 fn a_session_never_goes_back() {
-    let track = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
+    let tracker = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
     for session in 0..200 {
-        let sides: Vec<Side> = (0..24).map(|s| track.side(session, s * 1_000)).collect();
-        let moves = sides.windows(2).filter(|pair| pair[0] != pair[1]).count();
-        assert!(moves <= 1, "session {session}: {sides:?}");
+        let sides: Vec<Side> = (0..24).map(|s| tracker.side(session, s * 1_000)).collect();
+        let switches = sides.windows(2).filter(|pair| pair[0] != pair[1]).count();
+        assert!(switches <= 1, "session {session}: {sides:?}");
     }
 }
 
@@ -101,42 +104,46 @@
 fn a_box_that_learns_late_catches_up_at_the_next_step() {
     let at_step_ms = DURATION_MS * 76 / 100;
     let mut late = RolloutTracker::new(order(running(115), 2), 18_000);
-    assert_eq!(late.elapsed_ms(18_000), 115, "nothing tells it better yet");
+    assert_eq!(
+        late.elapsed_ms(18_000),
+        115,
+        "no newer progress record has been received"
+    );
     late.update(order(running(at_step_ms), 3), at_step_ms + 10);
     assert_eq!(late.elapsed_ms(at_step_ms + 10), at_step_ms);
-    let punctual = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
+    let on_time = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
     for session in 0..1_000 {
         let now_ms = at_step_ms + 20;
-        let sides = [&late, &punctual].map(|t| t.side(session, now_ms));
+        let sides = [&late, &on_time].map(|t| t.side(session, now_ms));
         assert_eq!(sides[0], sides[1], "session {session}");
     }
 }
 
 #[test]
 fn a_later_word_never_sets_a_box_back() {
-    let mut track = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
-    track.update(order(running(100), 2), 5_000);
-    assert_eq!(track.elapsed_ms(5_000), 5_000);
+    let mut tracker = RolloutTracker::new(order(RolloutState::Ordered, 1), 0);
+    tracker.update(order(running(100), 2), 5_000);
+    assert_eq!(tracker.elapsed_ms(5_000), 5_000);
 }
 
 macro_rules! duties {
     ($($name:ident: $state:expr, at $at_ms:expr => $duty:expr;)*) => {$(
         #[test]
         fn $name() {
-            let track = RolloutTracker::new(order($state, 1), 0);
+            let tracker = RolloutTracker::new(order($state, 1), 0);
             let started_ms = match $state {
                 RolloutState::Running { elapsed_ms } => elapsed_ms,
                 _ => 0,
             };
-            assert_eq!(track.duty($at_ms - started_ms), $duty);
+            assert_eq!(tracker.duty($at_ms - started_ms), $duty);
         }
     )*};
 }
 
 #[test]
 fn a_box_that_just_started_counts_from_before_its_start() {
-    let track = RolloutTracker::new(order(running(17_000), 1), 5);
-    assert_eq!(track.elapsed_ms(1_005), 18_000);
+    let tracker = RolloutTracker::new(order(running(17_000), 1), 5);
+    assert_eq!(tracker.elapsed_ms(1_005), 18_000);
 }
 
 duties! {
@@ -149,88 +156,97 @@
     a_rolled_back_one_has_no_duties: RolloutState::RolledBack, at 23_500 => RolloutDuty::None;
 }
 
-/// Answers of both versions, as `(side, failed, pace_ms)`.
-fn judged(answers: &[(Side, bool, Option<f64>)]) -> RolloutTracker {
-    let mut track = RolloutTracker::new(order(running(0), 1), 0);
+/// Returns a tracker that has recorded these answers, given as `(side, failed, pace_ms)`, each from
+/// another upstream.
+fn tracker_with_answers(answers: &[(Side, bool, Option<f64>)]) -> RolloutTracker {
+    let mut tracker = RolloutTracker::new(order(running(0), 1), 0);
     for (at, (side, failed, pace_ms)) in answers.iter().enumerate() {
         let upstream: Name = format!("u{at}").into();
-        track.record_answer(*side, &evidence(&upstream, *failed, *pace_ms), JUDGED_MS);
+        tracker.record_answer(
+            *side,
+            &answer_sample(&upstream, *failed, *pace_ms),
+            RECORDED_AT_MS,
+        );
     }
-    track
+    tracker
 }
 
 macro_rules! verdicts {
     ($($name:ident: $answers:expr => $duty:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(judged(&$answers).duty(100), $duty);
+            assert_eq!(tracker_with_answers(&$answers).duty(100), $duty);
         }
     )*};
 }
 
-const OLD_WELL: (Side, bool, Option<f64>) = (Side::Old, false, Some(20.0));
-const OLD_FAILS: (Side, bool, Option<f64>) = (Side::Old, true, None);
-const NEW_WELL: (Side, bool, Option<f64>) = (Side::New, false, Some(20.0));
-const NEW_FAILS: (Side, bool, Option<f64>) = (Side::New, true, None);
+const OLD_OK: (Side, bool, Option<f64>) = (Side::Old, false, Some(20.0));
+const OLD_FAILED: (Side, bool, Option<f64>) = (Side::Old, true, None);
+const NEW_OK: (Side, bool, Option<f64>) = (Side::New, false, Some(20.0));
+const NEW_FAILED: (Side, bool, Option<f64>) = (Side::New, true, None);
 const NEW_SLOW: (Side, bool, Option<f64>) = (Side::New, false, Some(60.0));
 
 verdicts! {
-    two_failures_do_not_condemn: [OLD_WELL, NEW_FAILS, NEW_FAILS] => RolloutDuty::None;
-    three_failures_do: [OLD_WELL, NEW_FAILS, NEW_WELL, NEW_FAILS, NEW_FAILS] => RolloutDuty::RollBack;
+    two_failures_do_not_condemn: [OLD_OK, NEW_FAILED, NEW_FAILED] => RolloutDuty::None;
+    three_failures_do: [OLD_OK, NEW_FAILED, NEW_OK, NEW_FAILED, NEW_FAILED] => RolloutDuty::RollBack;
     not_where_the_old_version_fails_as_often:
-        [OLD_FAILS, OLD_FAILS, OLD_FAILS, OLD_FAILS, NEW_FAILS, NEW_FAILS, NEW_FAILS]
+        [OLD_FAILED, OLD_FAILED, OLD_FAILED, OLD_FAILED, NEW_FAILED, NEW_FAILED, NEW_FAILED]
         => RolloutDuty::None;
     slow_answers_are_bad_ones:
-        [OLD_WELL, OLD_WELL, OLD_WELL, OLD_WELL, OLD_WELL, NEW_SLOW, NEW_SLOW, NEW_SLOW, NEW_SLOW]
+        [OLD_OK, OLD_OK, OLD_OK, OLD_OK, OLD_OK, NEW_SLOW, NEW_SLOW, NEW_SLOW, NEW_SLOW]
         => RolloutDuty::RollBack;
     slowness_is_told_only_against_enough_old_answers:
-        [OLD_WELL, NEW_SLOW, NEW_SLOW, NEW_SLOW] => RolloutDuty::None;
+        [OLD_OK, NEW_SLOW, NEW_SLOW, NEW_SLOW] => RolloutDuty::None;
 }
 
 #[test]
 fn a_condemned_version_gets_no_session_at_once() {
-    let track = judged(&[OLD_WELL, NEW_FAILS, NEW_FAILS, NEW_FAILS]);
-    assert_eq!(sessions_on_new(&track, 20_000), 0);
+    let tracker = tracker_with_answers(&[OLD_OK, NEW_FAILED, NEW_FAILED, NEW_FAILED]);
+    assert_eq!(sessions_on_new(&tracker, 20_000), 0);
 }
 
-/// Answers of which every seventh fails, as some services' do.
-fn every_seventh(side: Side, count: usize) -> Vec<(Side, bool, Option<f64>)> {
+/// Returns answers of which every seventh fails, to model a service with a constant error rate.
+fn every_seventh_fails(side: Side, count: usize) -> Vec<(Side, bool, Option<f64>)> {
     (0..count).map(|n| (side, n % 7 == 6, None)).collect()
 }
 
 #[test]
 fn a_version_that_fails_as_often_as_the_old_one_is_not_condemned() {
-    let mut answers = every_seventh(Side::Old, 60);
-    answers.extend(every_seventh(Side::New, 200));
-    assert_eq!(judged(&answers).duty(100), RolloutDuty::None);
+    let mut answers = every_seventh_fails(Side::Old, 60);
+    answers.extend(every_seventh_fails(Side::New, 200));
+    assert_eq!(tracker_with_answers(&answers).duty(100), RolloutDuty::None);
 }
 
-/// What users saw: a version whose answers were slow four times in ten was completed, and kept: of its 21 answers before the
-/// end five were bad, of the old one's 282 ten. Chance explains that once in 1,200 times, which is too often for
-/// a limit that is looked at after each answer, and the roll-out's time was up.
+/// Guards against completing the roll-out of a version that is probably worse. A version with four
+/// slow answers in ten was completed and kept: 5 of its 21 answers before the end were bad, against 10
+/// of the old version's 282. The probability of that by chance is 1 in 1,200, which is too high for a
+/// threshold that is checked after every answer, and then the roll-out's duration had elapsed.
 #[test]
 fn a_version_that_chance_hardly_explains_is_rolled_back_at_the_end() {
-    let rare = |side: Side, bad: usize, all: usize| {
-        (0..all).map(move |n| (side, n >= all - bad, None::<f64>))
+    let failures_last = |side: Side, failed: usize, total: usize| {
+        (0..total).map(move |n| (side, n >= total - failed, None::<f64>))
     };
-    let mut answers: Vec<_> = rare(Side::Old, 10, 282).collect();
-    // The bad ones come last: earlier they would condemn it while there are few good ones.
-    answers.extend(rare(Side::New, 5, 21));
-    let track = judged(&answers);
-    assert_eq!(track.duty(20_000), RolloutDuty::Tell);
-    assert_eq!(track.duty(23_400), RolloutDuty::RollBack);
-    let mut answers: Vec<_> = rare(Side::Old, 10, 282).collect();
-    answers.extend(rare(Side::New, 3, 21));
-    assert_eq!(judged(&answers).duty(23_400), RolloutDuty::Complete);
+    let mut answers: Vec<_> = failures_last(Side::Old, 10, 282).collect();
+    // Failures come last: earlier, while there are few good answers, they would trigger a roll-back.
+    answers.extend(failures_last(Side::New, 5, 21));
+    let tracker = tracker_with_answers(&answers);
+    assert_eq!(tracker.duty(20_000), RolloutDuty::Tell);
+    assert_eq!(tracker.duty(23_400), RolloutDuty::RollBack);
+    let mut answers: Vec<_> = failures_last(Side::Old, 10, 282).collect();
+    answers.extend(failures_last(Side::New, 3, 21));
+    assert_eq!(
+        tracker_with_answers(&answers).duty(23_400),
+        RolloutDuty::Complete
+    );
 }
 
 #[test]
 fn a_version_that_fails_on_one_lane_only_is_condemned() {
-    let mut track = RolloutTracker::new(order(running(0), 1), 0);
+    let mut tracker = RolloutTracker::new(order(running(0), 1), 0);
     for n in 0..40 {
         let upstream: Name = format!("u{}", n % 5).into();
         let lane = n % 4;
-        let evidence = AnswerSample {
+        let sample = AnswerSample {
             upstream: &upstream,
             failed: lane == 0,
             is_final: true,
@@ -241,58 +257,62 @@
             running: 0,
             queue: 0.0,
         };
-        track.record_answer(Side::New, &evidence, JUDGED_MS);
+        tracker.record_answer(Side::New, &sample, RECORDED_AT_MS);
     }
-    assert_eq!(track.duty(100), RolloutDuty::RollBack);
+    assert_eq!(tracker.duty(100), RolloutDuty::RollBack);
 }
 
 #[test]
 fn a_version_that_turns_bad_is_told_after_thousands_of_answers() {
-    let mut answers = vec![OLD_WELL; 100];
-    answers.extend(vec![NEW_WELL; 1_500]);
-    answers.extend(vec![NEW_FAILS; 600]);
-    assert_eq!(judged(&answers).duty(100), RolloutDuty::RollBack);
+    let mut answers = vec![OLD_OK; 100];
+    answers.extend(vec![NEW_OK; 1_500]);
+    answers.extend(vec![NEW_FAILED; 600]);
+    assert_eq!(
+        tracker_with_answers(&answers).duty(100),
+        RolloutDuty::RollBack
+    );
 }
 
-/// Answers of one version over many events: `slow` of every 20 take three times as long.
-fn long_answers(track: &mut RolloutTracker, side: Side, count: usize, slow: usize) {
+/// Records answers timed over many events, of which `slow_per_20` in every 20 take three times as long.
+fn record_long_answers(tracker: &mut RolloutTracker, side: Side, count: usize, slow_per_20: usize) {
     for n in 0..count {
         let upstream: Name = format!("u{}", n % 5).into();
-        let pace_ms = if n % 20 < slow { 60.0 } else { 20.0 };
-        let evidence = AnswerSample {
+        let pace_ms = if n % 20 < slow_per_20 { 60.0 } else { 20.0 };
+        let sample = AnswerSample {
             is_final: false,
             span: Span::Long,
-            ..evidence(&upstream, false, Some(pace_ms))
+            ..answer_sample(&upstream, false, Some(pace_ms))
         };
-        track.record_answer(side, &evidence, JUDGED_MS);
+        tracker.record_answer(side, &sample, RECORDED_AT_MS);
     }
 }
 
 #[test]
 fn a_version_slow_over_many_events_is_told_by_a_few_answers() {
-    let mut track = RolloutTracker::new(order(running(0), 1), 0);
-    long_answers(&mut track, Side::Old, 200, 2);
-    // What the starts of answers say does not hide it.
+    let mut tracker = RolloutTracker::new(order(running(0), 1), 0);
+    record_long_answers(&mut tracker, Side::Old, 200, 2);
+    // Samples from the start of answers must not mask the slowness measured over many events.
     for n in 0..200 {
         let upstream: Name = format!("u{n}").into();
-        track.record_answer(
+        tracker.record_answer(
             Side::Old,
-            &evidence(&upstream, false, Some(20.0)),
-            JUDGED_MS,
+            &answer_sample(&upstream, false, Some(20.0)),
+            RECORDED_AT_MS,
         );
-        track.record_answer(
+        tracker.record_answer(
             Side::New,
-            &evidence(&upstream, false, Some(20.0)),
-            JUDGED_MS,
+            &answer_sample(&upstream, false, Some(20.0)),
+            RECORDED_AT_MS,
         );
     }
-    assert_eq!(track.duty(100), RolloutDuty::None);
-    long_answers(&mut track, Side::New, 5, 20);
-    assert_eq!(track.duty(100), RolloutDuty::RollBack);
+    assert_eq!(tracker.duty(100), RolloutDuty::None);
+    record_long_answers(&mut tracker, Side::New, 5, 20);
+    assert_eq!(tracker.duty(100), RolloutDuty::RollBack);
 }
 
-/// Streams of engines by their pauses, in milliseconds, and the requests that run beside them.
-const BUSY: [(f64, u32); 10] = [
+/// Streams of busy engines, as the pause between events in milliseconds and the number of requests
+/// that run concurrently.
+const BUSY_STREAMS: [(f64, u32); 10] = [
     (15.0, 1),
     (17.0, 2),
     (19.0, 2),
@@ -305,93 +325,95 @@
     (129.0, 9),
 ];
 
-/// Streams like these, ten of a lane after the other.
-fn streams_of_lanes(track: &mut RolloutTracker, side: Side, streams: &[(f64, u32)]) {
+/// Records these streams, assigning each consecutive ten to the next lane.
+fn record_streams_by_lane(tracker: &mut RolloutTracker, side: Side, streams: &[(f64, u32)]) {
     for (n, (pace_ms, running)) in streams.iter().enumerate() {
         let upstream: Name = format!("u{}", n % 5).into();
-        let evidence = AnswerSample {
+        let sample = AnswerSample {
             lane: n as u64 / 10,
             running: *running,
-            ..evidence(&upstream, false, Some(*pace_ms))
+            ..answer_sample(&upstream, false, Some(*pace_ms))
         };
-        track.record_answer(side, &evidence, JUDGED_MS);
+        tracker.record_answer(side, &sample, RECORDED_AT_MS);
     }
 }
 
-/// Whether new streams like these condemn their version beside a busy old one.
-fn is_condemned_beside_busy_engines(new: &[(f64, u32)]) -> bool {
-    let mut track = RolloutTracker::new(order(running(0), 1), 0);
-    streams_of_lanes(&mut track, Side::Old, &BUSY.repeat(6));
-    streams_of_lanes(&mut track, Side::New, new);
-    track.duty(100) == RolloutDuty::RollBack
+/// Returns whether these streams of the new version cause a roll-back when the old version's engines
+/// are busy.
+fn rolls_back_against_busy_engines(new: &[(f64, u32)]) -> bool {
+    let mut tracker = RolloutTracker::new(order(running(0), 1), 0);
+    record_streams_by_lane(&mut tracker, Side::Old, &BUSY_STREAMS.repeat(6));
+    record_streams_by_lane(&mut tracker, Side::New, new);
+    tracker.duty(100) == RolloutDuty::RollBack
 }
 
 #[test]
 fn a_slow_version_on_empty_engines_is_told_beside_busy_ones() {
-    // Its engines run little else, so its pauses are even: four times those of an empty engine, and
-    // shorter than many of the busy ones.
-    assert!(is_condemned_beside_busy_engines(&[(63.0, 1); 14]));
+    // The new version's engines run one request each, so its pauses are uniform: four times those of an
+    // idle engine, yet shorter than many pauses of the busy engines.
+    assert!(rolls_back_against_busy_engines(&[(63.0, 1); 14]));
 }
 
 #[test]
 fn a_version_as_slow_as_the_old_one_at_its_load_is_not_condemned() {
-    assert!(!is_condemned_beside_busy_engines(&BUSY.repeat(4)));
+    assert!(!rolls_back_against_busy_engines(&BUSY_STREAMS.repeat(4)));
 }
 
-/// Whether answers of this part condemn a version that has got all work already, where the old one's
-/// took `old_ms` and its own take `new_ms`.
-fn is_condemned_after_the_move(span: Span, old_ms: f64, new_ms: f64) -> bool {
-    is_condemned_by_answers_of_age(0, span, old_ms, new_ms)
+/// Returns whether answers timed over `span` cause a roll-back once the new version receives all
+/// traffic, where the old version's took `old_ms` and the new version's take `new_ms`.
+fn rolls_back_after_full_shift(span: Span, old_ms: f64, new_ms: f64) -> bool {
+    rolls_back_on_delayed_answers(0, span, old_ms, new_ms)
 }
 
-/// The same for answers whose requests were sent `age_ms` before.
-fn is_condemned_by_answers_of_age(age_ms: u64, span: Span, old_ms: f64, new_ms: f64) -> bool {
+/// Like [`rolls_back_after_full_shift`], for answers whose requests were sent `age_ms` earlier.
+fn rolls_back_on_delayed_answers(age_ms: u64, span: Span, old_ms: f64, new_ms: f64) -> bool {
     let now_ms = DURATION_MS * 93 / 100;
-    let mut track = RolloutTracker::new(order(running(0), 1), 0);
+    let mut tracker = RolloutTracker::new(order(running(0), 1), 0);
     for (side, pace_ms) in [(Side::Old, old_ms), (Side::New, new_ms)] {
         for n in 0..20 {
             let upstream: Name = format!("u{}", n % 5).into();
-            let evidence = AnswerSample {
+            let sample = AnswerSample {
                 span,
                 age_ms,
-                ..evidence(&upstream, false, Some(pace_ms))
+                ..answer_sample(&upstream, false, Some(pace_ms))
             };
-            track.record_answer(side, &evidence, now_ms);
+            tracker.record_answer(side, &sample, now_ms);
         }
     }
-    track.duty(now_ms) == RolloutDuty::RollBack
+    tracker.duty(now_ms) == RolloutDuty::RollBack
 }
 
 #[test]
 fn a_plain_service_is_timed_to_the_end() {
-    assert!(is_condemned_after_the_move(Span::Whole, 20.0, 160.0));
+    assert!(rolls_back_after_full_shift(Span::Whole, 20.0, 160.0));
 }
 
-/// Whether a plain service's answers condemn it that has got all work already: ten quick ones of the old
-/// version on idle upstreams, then its own of `own_ms` behind `queue` requests for each that runs.
-fn is_condemned_in_a_surge(own_ms: f64, queue: f64) -> bool {
+/// Returns whether answers of a non-streaming service cause a roll-back once the new version receives
+/// all traffic: 20 fast answers of the old version on idle upstreams, then 20 of the new version that
+/// take `service_ms` behind `queue` waiting requests per running one.
+fn rolls_back_under_queueing(service_ms: f64, queue: f64) -> bool {
     let now_ms = DURATION_MS * 93 / 100;
-    let mut track = RolloutTracker::new(order(running(0), 1), 0);
-    let answers = [(Side::Old, 20.0, 0.0), (Side::New, own_ms, queue)];
-    for (side, own_ms, queue) in answers {
+    let mut tracker = RolloutTracker::new(order(running(0), 1), 0);
+    let answers = [(Side::Old, 20.0, 0.0), (Side::New, service_ms, queue)];
+    for (side, service_ms, queue) in answers {
         for n in 0..20 {
             let upstream: Name = format!("u{}", n % 5).into();
-            let evidence = AnswerSample {
+            let sample = AnswerSample {
                 span: Span::Whole,
                 queue,
-                ..evidence(&upstream, false, Some(own_ms * (1.0 + queue)))
+                ..answer_sample(&upstream, false, Some(service_ms * (1.0 + queue)))
             };
-            track.record_answer(side, &evidence, now_ms);
+            tracker.record_answer(side, &sample, now_ms);
         }
     }
-    track.duty(now_ms) == RolloutDuty::RollBack
+    tracker.duty(now_ms) == RolloutDuty::RollBack
 }
 
 macro_rules! surges {
-    ($($name:ident: $own_ms:expr, $queue:expr => $is_condemned:expr;)*) => {$(
+    ($($name:ident: $service_ms:expr, $queue:expr => $rolls_back:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(is_condemned_in_a_surge($own_ms, $queue), $is_condemned);
+            assert_eq!(rolls_back_under_queueing($service_ms, $queue), $rolls_back);
         }
     )*};
 }
@@ -407,23 +429,23 @@
 
 #[test]
 fn twice_the_time_is_not_slow_yet() {
-    assert!(!is_condemned_after_the_move(Span::Whole, 20.0, 45.0));
+    assert!(!rolls_back_after_full_shift(Span::Whole, 20.0, 45.0));
 }
 
 #[test]
 fn a_few_milliseconds_are_the_machines() {
-    assert!(!is_condemned_after_the_move(Span::Whole, 1.0, 20.0));
+    assert!(!rolls_back_after_full_shift(Span::Whole, 1.0, 20.0));
 }
 
 #[test]
 fn engines_that_have_read_nothing_yet_are_not_timed() {
-    assert!(!is_condemned_after_the_move(Span::Start, 20.0, 160.0));
-    assert!(!is_condemned_after_the_move(Span::Long, 20.0, 160.0));
+    assert!(!rolls_back_after_full_shift(Span::Start, 20.0, 160.0));
+    assert!(!rolls_back_after_full_shift(Span::Long, 20.0, 160.0));
 }
 
 #[test]
 fn streams_sent_before_the_move_are_timed_after_it() {
-    assert!(is_condemned_by_answers_of_age(
+    assert!(rolls_back_on_delayed_answers(
         1_000,
         Span::Start,
         20.0,
@@ -433,42 +455,46 @@
 
 #[test]
 fn one_failing_upstream_does_not_condemn_its_version() {
-    let mut track = RolloutTracker::new(order(running(0), 1), 0);
+    let mut tracker = RolloutTracker::new(order(running(0), 1), 0);
     for _ in 0..10 {
-        track.record_answer(Side::New, &evidence(&"u1".into(), true, None), JUDGED_MS);
+        tracker.record_answer(
+            Side::New,
+            &answer_sample(&"u1".into(), true, None),
+            RECORDED_AT_MS,
+        );
     }
-    assert_eq!(track.duty(100), RolloutDuty::None);
+    assert_eq!(tracker.duty(100), RolloutDuty::None);
 }
 
 #[test]
 fn a_new_order_is_judged_afresh() {
-    let mut track = judged(&[OLD_WELL, NEW_FAILS, NEW_FAILS, NEW_FAILS]);
-    track.update(order(RolloutState::RolledBack, 2), 500);
+    let mut tracker = tracker_with_answers(&[OLD_OK, NEW_FAILED, NEW_FAILED, NEW_FAILED]);
+    tracker.update(order(RolloutState::RolledBack, 2), 500);
     let mut next = order(RolloutState::Ordered, 3);
     next.target_version = "v3".into();
-    track.update(next, 40_000);
-    assert_eq!(track.duty(40_000), RolloutDuty::Tell);
-    assert!(sessions_on_new(&track, 62_500) > 900);
+    tracker.update(next, 40_000);
+    assert_eq!(tracker.duty(40_000), RolloutDuty::Tell);
+    assert!(sessions_on_new(&tracker, 62_500) > 900);
 }
 
 /// Tracks a roll-out in the `known` state, then receives its record in the `stored` state from a
 /// restored store.
-fn track_after_restore(known: RolloutState, stored: RolloutState) -> RolloutTracker {
-    let mut track = RolloutTracker::new(order(known, 40), 0);
+fn tracker_after_restore(known: RolloutState, stored: RolloutState) -> RolloutTracker {
+    let mut tracker = RolloutTracker::new(order(known, 40), 0);
     let mut restored_order = order(stored, 16);
     restored_order.era = 1;
-    track.update(restored_order, 1_000);
-    track
+    tracker.update(restored_order, 1_000);
+    tracker
 }
 
 macro_rules! restored_states {
     ($($name:ident: $known:expr, $stored:expr => $state:expr, $duty:expr;)*) => {$(
         #[test]
         fn $name() {
-            let track = track_after_restore($known, $stored);
-            assert_eq!(track.order().state, $state);
-            assert_eq!(track.duty(1_000), $duty);
-            assert_eq!((track.order().era, track.order().revision), (1, 16));
+            let tracker = tracker_after_restore($known, $stored);
+            assert_eq!(tracker.order().state, $state);
+            assert_eq!(tracker.duty(1_000), $duty);
+            assert_eq!((tracker.order().era, tracker.order().revision), (1, 16));
         }
     )*};
 }
@@ -488,37 +514,37 @@
 
 #[test]
 fn an_order_repeated_after_a_restore_does_not_start_again() {
-    let mut track = track_after_restore(RolloutState::Completed, running(20_000));
+    let mut tracker = tracker_after_restore(RolloutState::Completed, running(20_000));
     let mut repeated = order(RolloutState::Ordered, 17);
     repeated.era = 1;
-    track.update(repeated, 1_100);
-    assert_eq!(track.order().state, RolloutState::Completed);
-    assert_eq!(track.duty(1_100), RolloutDuty::Complete);
+    tracker.update(repeated, 1_100);
+    assert_eq!(tracker.order().state, RolloutState::Completed);
+    assert_eq!(tracker.duty(1_100), RolloutDuty::Complete);
 }
 
 #[test]
 fn a_state_written_after_a_restore_is_not_written_twice() {
-    let mut track = track_after_restore(RolloutState::Completed, RolloutState::Ordered);
+    let mut tracker = tracker_after_restore(RolloutState::Completed, RolloutState::Ordered);
     let mut written = order(RolloutState::Completed, 17);
     written.era = 1;
-    track.update(written, 1_100);
-    assert_eq!(track.duty(1_100), RolloutDuty::None);
+    tracker.update(written, 1_100);
+    assert_eq!(tracker.duty(1_100), RolloutDuty::None);
 }
 
 #[test]
 fn an_order_for_another_version_after_a_restore_starts() {
-    let mut track = RolloutTracker::new(order(RolloutState::Completed, 40), 0);
+    let mut tracker = RolloutTracker::new(order(RolloutState::Completed, 40), 0);
     let mut next = order(RolloutState::Ordered, 16);
     next.era = 1;
     next.target_version = "v3".into();
-    track.update(next, 1_000);
-    assert_eq!(track.order().state, RolloutState::Ordered);
+    tracker.update(next, 1_000);
+    assert_eq!(tracker.order().state, RolloutState::Ordered);
 }
 
-/// Guards against all boxes writing the state at once: a box that lets others go first asks what was
-/// due at an earlier time.
+/// Guards against all boxes writing the state at once: a box that defers to others checks which duty
+/// was due at an earlier time.
 #[test]
 fn a_lost_state_is_not_due_before_the_loss_is_detected() {
-    let track = track_after_restore(RolloutState::Completed, RolloutState::Ordered);
-    assert_eq!(track.duty(999), RolloutDuty::None);
+    let tracker = tracker_after_restore(RolloutState::Completed, RolloutState::Ordered);
+    assert_eq!(tracker.duty(999), RolloutDuty::None);
 }
