--- a/crates/ivyweir-policy/tests/gateway_rollout_load.rs
+++ b/crates/ivyweir-policy/tests/gateway_rollout_load.rs
@@ -1,4 +1,5 @@
-//! The upstreams of a new version that serve its share: as few as bear the old version's load.
+//! Tests of how many upstreams of a new version serve its traffic share: few enough that each bears
+//! the load of an upstream of the old version.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
 use ivyweir_policy::gateway::upstreams::{RolloutTarget, Scope, SendRules, Upstreams};
 use ivyweir_policy::hash::mix;
 
-/// Upstreams of two versions, 20 of the old and 20 of the new one.
+/// Returns a pool with 20 upstreams of the old version and 20 of the new one.
 fn two_versions() -> Upstreams {
     let mut upstreams = Upstreams::default();
     for (version, count) in [("v1", 20), ("v2", 20)] {
@@ -35,8 +36,9 @@
     upstreams
 }
 
-/// Upstreams that requests of the new side reach while the version has this share, `tried` having been tried.
-fn reached(upstreams: &mut Upstreams, share: f64, tried: &[Name]) -> BTreeSet<Name> {
+/// Returns the upstreams that serve requests for the new version at this traffic share, for requests
+/// that have already tried the upstreams in `tried`.
+fn reached_upstreams(upstreams: &mut Upstreams, share: f64, tried: &[Name]) -> BTreeSet<Name> {
     let target = RolloutTarget {
         version: "v2".into(),
         state: RolloutState::Running { elapsed_ms: 0 },
@@ -48,7 +50,7 @@
         tried,
     };
     let choose = |seed: u64| {
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             prefix: None,
             engine: None,
             hall: "h",
@@ -57,27 +59,28 @@
             seed: mix(seed, 3),
             isolation_hash: None,
         };
-        let choice = upstreams.choose(&scope, &ask, Some(&target), &SendRules::default(), 0);
+        let choice = upstreams.choose(&scope, &request, Some(&target), &SendRules::default(), 0);
         choice.expect("an upstream").upstream.id.clone()
     };
     (0..2_000).map(choose).collect()
 }
 
-/// What operators saw: a version that fails under load only was given all work, and could not be taken back. Order of
-/// events: its small share was spread over as many upstreams as the old version has, each of which had an eighth of the old
-/// one's load; nothing failed; all work moved, and then everything did. Evidence: at the move 0 of 273 answers had failed.
-macro_rules! loaded {
+/// Guards against shifting all traffic to a version that fails only under load, after which it could not
+/// be rolled back. Its small share was spread over as many upstreams as the old version has, so each
+/// had an eighth of the load of an old one, and none of 273 answers had failed when all traffic
+/// shifted. Then every request failed.
+macro_rules! share_cases {
     ($($name:ident: share $share:expr => upstreams $upstreams:expr;)*) => {$(
         #[test]
         fn $name() {
-            let few = reached(&mut two_versions(), $share, &[]);
-            assert_eq!(few.len(), $upstreams);
-            assert!(few.iter().all(|id| id.starts_with("v2")));
+            let upstream_ids = reached_upstreams(&mut two_versions(), $share, &[]);
+            assert_eq!(upstream_ids.len(), $upstreams);
+            assert!(upstream_ids.iter().all(|id| id.starts_with("v2")));
         }
     )*};
 }
 
-loaded! {
+share_cases! {
     a_small_share_goes_to_four_at_least: share 0.02 => upstreams 4;
     a_fifth_loads_five_as_the_old_ones: share 0.2 => upstreams 5;
     a_third_loads_ten: share 0.333 => upstreams 10;
@@ -88,9 +91,9 @@
 #[test]
 fn in_place_of_upstreams_that_were_tried_the_next_ones_are_taken() {
     let mut upstreams = two_versions();
-    let first = reached(&mut upstreams, 0.2, &[]);
+    let first = reached_upstreams(&mut upstreams, 0.2, &[]);
     let tried: Vec<Name> = first.iter().cloned().collect();
-    let next = reached(&mut upstreams, 0.2, &tried);
+    let next = reached_upstreams(&mut upstreams, 0.2, &tried);
     assert_eq!(next.len(), 5);
     assert!(next.is_disjoint(&first));
 }
