--- a/crates/ivyweir-policy/tests/gateway_statements.rs
+++ b/crates/ivyweir-policy/tests/gateway_statements.rs
@@ -1,4 +1,5 @@
-//! What upstreams say of themselves, in whichever order it is heard, and when boxes return to those that were full.
+//! Tests of the state that upstreams report about themselves, received in any order, and of when boxes
+//! resume sending to upstreams that were at capacity.
 
 use std::net::SocketAddr;
 
@@ -11,13 +12,13 @@
 use ivyweir_policy::gateway::wait::{BlockedRequest, Queue, spread_retry_after_ms};
 use ivyweir_policy::hash::mix;
 
-/// The most for which an upstream is left alone in these tests.
+/// Upper bound on the back-off from an upstream in these tests.
 const MAX_BACKOFF_MS: u64 = 60_000;
 
-/// The record of incarnation `born` of an upstream.
-fn record(name: &str, born: u64) -> UpstreamRecord {
+/// Returns the registry record of the incarnation of an upstream that began at `start`.
+fn record(name: &str, start: u64) -> UpstreamRecord {
     UpstreamRecord {
-        id: UpstreamRecord::incarnation_id(name, born),
+        id: UpstreamRecord::incarnation_id(name, start),
         pool: "p".into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 1_000 + name.len() as u16)),
         hall: "h".into(),
@@ -37,67 +38,69 @@
     }
 }
 
-fn says_leaving() -> Statement {
+fn leaving_statement() -> Statement {
     Statement {
         is_leaving: true,
         ..Statement::new(Source::Answer)
     }
 }
 
-fn says_retry_after(retry_after: RetryAfter) -> Statement {
+fn retry_after_statement(retry_after: RetryAfter) -> Statement {
     Statement {
         retry_after: Some(retry_after),
         ..Statement::new(Source::Answer)
     }
 }
 
-/// What is heard of the upstream `u`.
-enum Heard {
-    /// Its record says that it takes work.
+/// An event that concerns the upstream `u`, with the start of the incarnation if it names one.
+enum FleetEvent {
+    /// Its record reports it as accepting requests.
     Ready(u64),
-    /// Its record says that it leaves.
+    /// Its record reports it as leaving.
     Leaving(u64),
-    /// Its record is gone.
-    Gone,
-    /// A whole listing has it as ready.
+    /// Its record has lapsed.
+    Lapsed,
+    /// A full listing includes it as ready.
     Listed(u64),
-    /// A whole listing lacks it.
+    /// A full listing does not include it.
     Unlisted,
-    /// An answer says that it leaves.
-    Answer(u64),
-    /// An answer says nothing of leaving.
-    Silent(u64),
+    /// An answer reports that it is leaving.
+    LeavingAnswer(u64),
+    /// An answer does not report that it is leaving.
+    PlainAnswer(u64),
 }
 
-fn hear(upstreams: &mut Upstreams, heard: &Heard) {
-    let id = |born: u64| UpstreamRecord::incarnation_id("u", born);
-    match *heard {
-        Heard::Ready(born) => drop(upstreams.fleet().put(record("u", born), 0)),
-        Heard::Leaving(born) => drop(upstreams.fleet().put(leaving(record("u", born)), 0)),
-        Heard::Gone => drop(upstreams.fleet().mark_lapsed("u", 0)),
-        Heard::Listed(born) => drop(upstreams.fleet().replace_all(vec![record("u", born)], 0)),
-        Heard::Unlisted => drop(upstreams.fleet().replace_all(Vec::new(), 0)),
-        Heard::Answer(born) => {
-            upstreams.apply_statement(&id(born), &says_leaving(), MAX_BACKOFF_MS, 0);
+fn apply_event(upstreams: &mut Upstreams, event: &FleetEvent) {
+    let id = |start: u64| UpstreamRecord::incarnation_id("u", start);
+    match *event {
+        FleetEvent::Ready(start) => drop(upstreams.fleet().put(record("u", start), 0)),
+        FleetEvent::Leaving(start) => drop(upstreams.fleet().put(leaving(record("u", start)), 0)),
+        FleetEvent::Lapsed => drop(upstreams.fleet().mark_lapsed("u", 0)),
+        FleetEvent::Listed(start) => {
+            drop(upstreams.fleet().replace_all(vec![record("u", start)], 0))
         }
-        Heard::Silent(born) => {
+        FleetEvent::Unlisted => drop(upstreams.fleet().replace_all(Vec::new(), 0)),
+        FleetEvent::LeavingAnswer(start) => {
+            upstreams.apply_statement(&id(start), &leaving_statement(), MAX_BACKOFF_MS, 0);
+        }
+        FleetEvent::PlainAnswer(start) => {
             let statement = Statement::new(Source::Answer);
-            upstreams.apply_statement(&id(born), &statement, MAX_BACKOFF_MS, 0);
+            upstreams.apply_statement(&id(start), &statement, MAX_BACKOFF_MS, 0);
         }
     }
 }
 
 macro_rules! orders {
-    ($($name:ident: $heard:expr => $usable:expr;)*) => {$(
+    ($($name:ident: $events:expr => $usable:expr;)*) => {$(
         #[test]
         fn $name() {
-            use Heard::*;
+            use FleetEvent::*;
             let mut upstreams = Upstreams::default();
-            let heard: &[Heard] = &$heard;
-            heard.iter().for_each(|heard| hear(&mut upstreams, heard));
+            let events: &[FleetEvent] = &$events;
+            events.iter().for_each(|event| apply_event(&mut upstreams, event));
             let usable: Vec<u64> = (1..=9)
-                .filter(|born| {
-                    let id = UpstreamRecord::incarnation_id("u", *born);
+                .filter(|start| {
+                    let id = UpstreamRecord::incarnation_id("u", *start);
                     upstreams.may_send(&id, &SendRules::default(), 0).is_ok()
                 })
                 .collect();
@@ -108,20 +111,20 @@
 }
 
 orders! {
-    an_answer_ends_its_use: [Ready(5), Answer(5)] => [];
-    a_record_written_later_does_not_bring_it_back: [Ready(5), Answer(5), Ready(5)] => [];
-    nor_a_listing: [Ready(5), Answer(5), Listed(5)] => [];
-    nor_an_answer_that_says_nothing_of_it: [Ready(5), Answer(5), Silent(5)] => [];
-    nor_its_record_going_and_coming: [Ready(5), Answer(5), Gone, Ready(5), Unlisted, Listed(5)] => [];
-    an_answer_before_its_record_is_known: [Answer(5), Ready(5)] => [];
-    an_answer_behind_its_record: [Ready(5), Leaving(5), Answer(5), Listed(5)] => [];
-    an_answer_of_one_whose_record_is_gone: [Ready(5), Gone, Answer(5), Ready(5)] => [];
-    the_next_incarnation_begins_anew: [Ready(5), Answer(5), Ready(8)] => [8];
-    a_late_answer_of_the_old_one_harms_no_new_one: [Ready(5), Ready(8), Answer(5)] => [8];
-    nor_does_a_late_record_of_the_old_one: [Ready(5), Answer(5), Ready(8), Leaving(5), Listed(8)] => [8];
-    an_old_listing_does_not_bring_the_old_one_back: [Ready(5), Answer(5), Ready(8), Listed(5)] => [8];
-    the_next_one_may_leave_too: [Ready(5), Answer(5), Ready(8), Answer(8), Listed(8)] => [];
-    silence_ends_nothing: [Ready(5), Silent(5)] => [5];
+    an_answer_ends_its_use: [Ready(5), LeavingAnswer(5)] => [];
+    a_record_written_later_does_not_bring_it_back: [Ready(5), LeavingAnswer(5), Ready(5)] => [];
+    nor_a_listing: [Ready(5), LeavingAnswer(5), Listed(5)] => [];
+    nor_an_answer_that_says_nothing_of_it: [Ready(5), LeavingAnswer(5), PlainAnswer(5)] => [];
+    nor_its_record_going_and_coming: [Ready(5), LeavingAnswer(5), Lapsed, Ready(5), Unlisted, Listed(5)] => [];
+    an_answer_before_its_record_is_known: [LeavingAnswer(5), Ready(5)] => [];
+    an_answer_behind_its_record: [Ready(5), Leaving(5), LeavingAnswer(5), Listed(5)] => [];
+    an_answer_of_one_whose_record_is_gone: [Ready(5), Lapsed, LeavingAnswer(5), Ready(5)] => [];
+    the_next_incarnation_begins_anew: [Ready(5), LeavingAnswer(5), Ready(8)] => [8];
+    a_late_answer_of_the_old_one_harms_no_new_one: [Ready(5), Ready(8), LeavingAnswer(5)] => [8];
+    nor_does_a_late_record_of_the_old_one: [Ready(5), LeavingAnswer(5), Ready(8), Leaving(5), Listed(8)] => [8];
+    an_old_listing_does_not_bring_the_old_one_back: [Ready(5), LeavingAnswer(5), Ready(8), Listed(5)] => [8];
+    the_next_one_may_leave_too: [Ready(5), LeavingAnswer(5), Ready(8), LeavingAnswer(8), Listed(8)] => [];
+    silence_ends_nothing: [Ready(5), PlainAnswer(5)] => [5];
 }
 
 #[test]
@@ -132,22 +135,22 @@
         upstreams.fleet().put(record("u", 5), 0);
     }
     let id = UpstreamRecord::incarnation_id("u", 5);
-    first.apply_statement(&id, &says_leaving(), MAX_BACKOFF_MS, 0);
-    let told = first.recent_departures(100);
-    assert_eq!(told, std::slice::from_ref(&id));
-    let by_peer = Statement {
+    first.apply_statement(&id, &leaving_statement(), MAX_BACKOFF_MS, 0);
+    let departures = first.recent_departures(100);
+    assert_eq!(departures, std::slice::from_ref(&id));
+    let from_peer = Statement {
         source: Source::Peer,
-        ..says_leaving()
+        ..leaving_statement()
     };
     assert_eq!(
         second
-            .apply_statement(&id, &by_peer, MAX_BACKOFF_MS, 100)
+            .apply_statement(&id, &from_peer, MAX_BACKOFF_MS, 100)
             .fleet,
         FleetChange::Leaving
     );
     assert_eq!(
         second
-            .apply_statement(&id, &by_peer, MAX_BACKOFF_MS, 200)
+            .apply_statement(&id, &from_peer, MAX_BACKOFF_MS, 200)
             .fleet,
         FleetChange::Nothing
     );
@@ -155,7 +158,7 @@
         second.may_send(&id, &SendRules::default(), 200),
         Err(SendDenied::Gone)
     );
-    // It tells it on for as long as if it had heard it itself, and no longer.
+    // A departure learned from a peer is passed on exactly as long as one learned from an answer.
     assert_eq!(second.recent_departures(10_000), [id]);
     assert!(second.recent_departures(10_100).is_empty());
 }
@@ -163,9 +166,9 @@
 #[test]
 fn what_the_registry_says_is_not_told_on() {
     let mut upstreams = Upstreams::default();
-    hear(&mut upstreams, &Heard::Ready(5));
-    hear(&mut upstreams, &Heard::Leaving(5));
-    hear(&mut upstreams, &Heard::Answer(5));
+    apply_event(&mut upstreams, &FleetEvent::Ready(5));
+    apply_event(&mut upstreams, &FleetEvent::Leaving(5));
+    apply_event(&mut upstreams, &FleetEvent::LeavingAnswer(5));
     assert!(upstreams.recent_departures(0).is_empty());
 }
 
@@ -174,22 +177,22 @@
     let mut upstreams = Upstreams::default();
     for n in 0..5_000 {
         let id = UpstreamRecord::incarnation_id(&format!("u{n}"), 1);
-        upstreams.apply_statement(&id, &says_leaving(), MAX_BACKOFF_MS, n);
+        upstreams.apply_statement(&id, &leaving_statement(), MAX_BACKOFF_MS, n);
     }
-    let told = upstreams.recent_departures(5_000);
-    assert_eq!(told.len(), 256);
-    assert_eq!(told.last(), Some(&"u4999@1".into()));
+    let departures = upstreams.recent_departures(5_000);
+    assert_eq!(departures.len(), 256);
+    assert_eq!(departures.last(), Some(&"u4999@1".into()));
 }
 
-/// Two upstreams, the first of which said to stay away at 0 ms.
-fn one_backing_off(retry_after: RetryAfter) -> Upstreams {
+/// Returns two upstreams, the first of which sent this retry-after at 0 ms.
+fn upstreams_with_one_backing_off(retry_after: RetryAfter) -> Upstreams {
     let mut upstreams = Upstreams::default();
     for name in ["u", "uu"] {
         upstreams.fleet().put(record(name, 1), 0);
     }
     upstreams.apply_statement(
         &"u@1".into(),
-        &says_retry_after(retry_after),
+        &retry_after_statement(retry_after),
         MAX_BACKOFF_MS,
         0,
     );
@@ -204,19 +207,19 @@
     }
 }
 
-macro_rules! times {
-    ($($name:ident: $retry_after:expr => $least_ms:expr, $most_ms:expr;)*) => {$(
+macro_rules! backoff_times {
+    ($($name:ident: $retry_after:expr => $min_ms:expr, $max_ms:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut upstreams = one_backing_off($retry_after);
+            let mut upstreams = upstreams_with_one_backing_off($retry_after);
             let for_ms = backoff_ms(&mut upstreams, 0);
-            assert!(($least_ms..=$most_ms).contains(&for_ms), "{for_ms} ms");
+            assert!(($min_ms..=$max_ms).contains(&for_ms), "{for_ms} ms");
             assert_eq!(backoff_ms(&mut upstreams, for_ms), 0);
         }
     )*};
 }
 
-times! {
+backoff_times! {
     it_is_left_alone_for_as_long_as_it_says: RetryAfter::ForMs(1_000) => 1_000, 1_250;
     a_short_time_is_kept_too: RetryAfter::ForMs(1) => 1, 1;
     no_time_is_none: RetryAfter::ForMs(0) => 0, 0;
@@ -226,15 +229,15 @@
 
 #[test]
 fn a_shorter_time_said_later_does_not_end_a_longer_one() {
-    let mut upstreams = one_backing_off(RetryAfter::ForMs(5_000));
-    let short = says_retry_after(RetryAfter::ForMs(10));
+    let mut upstreams = upstreams_with_one_backing_off(RetryAfter::ForMs(5_000));
+    let short = retry_after_statement(RetryAfter::ForMs(10));
     upstreams.apply_statement(&"u@1".into(), &short, MAX_BACKOFF_MS, 100);
     assert!(backoff_ms(&mut upstreams, 4_999) > 0);
 }
 
 #[test]
 fn the_next_incarnation_owes_nothing_to_the_old_ones_word() {
-    let mut upstreams = one_backing_off(RetryAfter::ForMs(5_000));
+    let mut upstreams = upstreams_with_one_backing_off(RetryAfter::ForMs(5_000));
     upstreams.fleet().put(record("u", 2), 100);
     assert_eq!(
         upstreams.may_send(&"u@2".into(), &SendRules::default(), 100),
@@ -244,14 +247,14 @@
 
 #[test]
 fn a_time_to_retry_after_outlasts_the_record() {
-    let mut upstreams = one_backing_off(RetryAfter::ForMs(5_000));
+    let mut upstreams = upstreams_with_one_backing_off(RetryAfter::ForMs(5_000));
     upstreams.fleet().mark_lapsed("u", 100);
     upstreams.sweep(0, 200);
     upstreams.fleet().put(record("u", 1), 300);
     assert!(backoff_ms(&mut upstreams, 400) > 0);
 }
 
-fn ask() -> PlacementRequest<'static> {
+fn placement_request() -> PlacementRequest<'static> {
     PlacementRequest {
         prefix: None,
         engine: None,
@@ -269,17 +272,23 @@
         side: None,
         tried,
     };
-    let choice = upstreams.choose(&scope, &ask(), None, &SendRules::default(), now_ms);
+    let choice = upstreams.choose(
+        &scope,
+        &placement_request(),
+        None,
+        &SendRules::default(),
+        now_ms,
+    );
     choice.map(|choice| choice.upstream.id.clone())
 }
 
 #[test]
 fn others_serve_while_one_is_left_alone() {
-    let mut upstreams = one_backing_off(RetryAfter::ForMs(5_000));
+    let mut upstreams = upstreams_with_one_backing_off(RetryAfter::ForMs(5_000));
     for now_ms in 0..100 {
         assert_eq!(choose(&mut upstreams, &[], now_ms), Ok("uu@1".into()));
     }
-    // A request that the other one refused too has nowhere to go.
+    // A request that the other upstream has refused as well has no candidate left.
     let tried = ["uu@1".into()];
     let refused = choose(&mut upstreams, &tried, 100);
     assert!(
@@ -290,58 +299,61 @@
 
 #[test]
 fn where_all_want_nothing_the_shortest_time_is_told() {
-    let mut upstreams = one_backing_off(RetryAfter::ForMs(5_000));
-    let shorter = says_retry_after(RetryAfter::ForMs(400));
+    let mut upstreams = upstreams_with_one_backing_off(RetryAfter::ForMs(5_000));
+    let shorter = retry_after_statement(RetryAfter::ForMs(400));
     upstreams.apply_statement(&"uu@1".into(), &shorter, MAX_BACKOFF_MS, 0);
     let Err(ChooseError::AllBackingOff { for_ms }) = choose(&mut upstreams, &[], 0) else {
-        panic!("nothing is to be chosen");
+        panic!("expected AllBackingOff");
     };
     assert!((400..=500).contains(&for_ms), "{for_ms} ms");
     assert_eq!(choose(&mut upstreams, &[], for_ms), Ok("uu@1".into()));
 }
 
-/// Boxes that an upstream told at 0 ms to stay away for a second, each with more requests than may go; gives what
-/// reaches it, by tens of milliseconds from then on.
-fn returns(boxes: u64) -> Vec<u64> {
-    const FOR_MS: u64 = 1_000;
-    const EACH_HAS: u32 = 40;
+/// Simulates boxes that an upstream told at 0 ms to back off for one second, each with more requests
+/// than it may send at once. Returns the number of requests that arrive in each 10 ms interval.
+fn arrivals_per_10_ms(boxes: u64) -> Vec<u64> {
+    const BACKOFF_MS: u64 = 1_000;
+    const REQUESTS_PER_BOX: u32 = 40;
     let mut arrivals = Vec::new();
-    for own in 0..boxes {
+    for box_number in 0..boxes {
         let mut backoff = Backoff::default();
-        backoff.start(FOR_MS, mix(own, 1), 0);
-        let mut left = EACH_HAS;
+        backoff.start(BACKOFF_MS, mix(box_number, 1), 0);
+        let mut unsent = REQUESTS_PER_BOX;
         for now_ms in 0..5_000 {
-            while left > 0 && backoff.remaining_ms(now_ms) == 0 {
+            while unsent > 0 && backoff.remaining_ms(now_ms) == 0 {
                 backoff.record_send();
-                left -= 1;
+                unsent -= 1;
                 arrivals.push(now_ms);
             }
         }
-        assert_eq!(left, 0, "all are sent in the end");
+        assert_eq!(unsent, 0, "requests were left unsent after 5 s");
     }
-    assert!(arrivals.iter().all(|at_ms| *at_ms >= FOR_MS));
-    let mut by_ten = vec![0; 500];
+    assert!(arrivals.iter().all(|at_ms| *at_ms >= BACKOFF_MS));
+    let mut per_10_ms = vec![0; 500];
     arrivals
         .iter()
-        .for_each(|at_ms| by_ten[(*at_ms / 10) as usize] += 1);
-    by_ten
+        .for_each(|at_ms| per_10_ms[(*at_ms / 10) as usize] += 1);
+    per_10_ms
 }
 
-/// Within 50 ms a refusal is back at the box that sent; what comes until then cannot be held back. An upstream of 64
-/// places with a queue as long bears 128 in that time.
-macro_rules! returning {
-    ($($name:ident: $boxes:expr, first $first:expr;)*) => {$(
+/// A refusal reaches the sending box within 50 ms, and requests sent before that cannot be held back. An
+/// upstream with 64 slots and a queue of the same length can take 128 requests in that time.
+macro_rules! resumptions {
+    ($($name:ident: $boxes:expr, first $max_first:expr;)*) => {$(
         #[test]
         fn $name() {
-            let by_ten = returns($boxes);
-            let starts = by_ten.iter().position(|n| *n > 0).expect("they come back");
-            let first: u64 = by_ten[starts..starts + 5].iter().sum();
-            assert!(first <= $first, "{first} requests in the first 50 ms");
+            let per_10_ms = arrivals_per_10_ms($boxes);
+            let start = per_10_ms
+                .iter()
+                .position(|n| *n > 0)
+                .expect("no request was sent after the back-off");
+            let first: u64 = per_10_ms[start..start + 5].iter().sum();
+            assert!(first <= $max_first, "{first} requests in the first 50 ms");
         }
     )*};
 }
 
-returning! {
+resumptions! {
     nine_boxes_come_back_one_by_one: 9, first 9;
     eighty_four_boxes_come_back_spread: 84, first 42;
     three_hundred_boxes_come_back_spread: 300, first 128;
@@ -350,60 +362,60 @@
 #[test]
 fn callers_come_back_by_rank_and_never_early() {
     for for_ms in [1, 40, 400, 5_000] {
-        let times = |rank: u8| -> Vec<u64> {
+        let retry_times = |rank: u8| -> Vec<u64> {
             let seeds = (0..500).map(|n| mix(n, 1));
             seeds
                 .map(|seed| spread_retry_after_ms(for_ms, rank, seed))
                 .collect()
         };
         for rank in 0..3 {
-            let own = times(rank);
-            assert!(own.iter().all(|ms| *ms >= for_ms));
-            let later = times(rank + 1);
+            let current = retry_times(rank);
+            assert!(current.iter().all(|ms| *ms >= for_ms));
+            let next = retry_times(rank + 1);
             if rank < 2 {
                 assert!(
-                    own.iter().max() <= later.iter().min(),
-                    "rank {rank} of {for_ms}"
+                    current.iter().max() <= next.iter().min(),
+                    "rank {rank}, {for_ms} ms"
                 );
             }
-            let distinct: std::collections::HashSet<_> = own.iter().collect();
+            let distinct: std::collections::HashSet<_> = current.iter().collect();
             assert!(
                 distinct.len() >= 40,
-                "{} moments of {for_ms}",
+                "{} distinct times for {for_ms} ms",
                 distinct.len()
             );
         }
     }
 }
 
-macro_rules! held {
-    ($($name:ident: for $for_ms:expr, aim $aim_ms:expr, deadline $deadline_ms:expr, ahead $ahead:expr => $waits:expr;)*) => {$(
+macro_rules! blocked_requests {
+    ($($name:ident: for $for_ms:expr, target $target_ms:expr, deadline $deadline_ms:expr, ahead $ahead:expr => $waits:expr;)*) => {$(
         #[test]
         fn $name() {
-            let held = BlockedRequest {
+            let request = BlockedRequest {
                 for_ms: $for_ms,
-                to_target_ms: $aim_ms,
+                to_target_ms: $target_ms,
                 to_deadline_ms: $deadline_ms,
                 prefill_ms: 50,
                 ahead: $ahead,
             };
-            // Upstreams take one request for each 100 ms behind the first.
-            let places_within = |within_ms: u64| {
+            // After the first request, upstreams accept one more every 100 ms.
+            let slots_within = |within_ms: u64| {
                 within_ms.checked_sub($for_ms).map_or(0, |ms| 1 + ms as u32 / 100)
             };
-            assert_eq!(held.should_wait(places_within), $waits);
+            assert_eq!(request.should_wait(slots_within), $waits);
         }
     )*};
 }
 
-held! {
-    one_that_can_be_in_time_waits: for 200, aim 500, deadline 5_000, ahead 0 => true;
-    one_whose_reading_makes_it_late_comes_back: for 460, aim 500, deadline 5_000, ahead 0 => false;
-    one_behind_too_many_comes_back: for 200, aim 500, deadline 5_000, ahead 3 => false;
-    one_that_would_come_back_too_early_waits: for 2_000, aim 500, deadline 5_000, ahead 0 => true;
-    unless_there_are_too_many: for 2_000, aim 500, deadline 5_000, ahead 30 => false;
-    one_that_cannot_be_served_is_refused: for 4_960, aim 500, deadline 5_000, ahead 0 => false;
-    one_whose_time_is_up_is_refused: for 1, aim 0, deadline 0, ahead 0 => false;
+blocked_requests! {
+    one_that_can_be_in_time_waits: for 200, target 500, deadline 5_000, ahead 0 => true;
+    one_whose_reading_makes_it_late_comes_back: for 460, target 500, deadline 5_000, ahead 0 => false;
+    one_behind_too_many_comes_back: for 200, target 500, deadline 5_000, ahead 3 => false;
+    one_that_would_come_back_too_early_waits: for 2_000, target 500, deadline 5_000, ahead 0 => true;
+    unless_there_are_too_many: for 2_000, target 500, deadline 5_000, ahead 30 => false;
+    one_that_cannot_be_served_is_refused: for 4_960, target 500, deadline 5_000, ahead 0 => false;
+    one_whose_time_is_up_is_refused: for 1, target 0, deadline 0, ahead 0 => false;
 }
 
 #[test]
