--- a/crates/ivyweir-policy/tests/gateway_rollout.rs
+++ b/crates/ivyweir-policy/tests/gateway_rollout.rs
@@ -219,8 +219,9 @@
 
 /// Guards against completing the roll-out of a version that is probably worse. A version with four
 /// slow answers in ten was completed and kept: 5 of its 21 answers before the end were bad, against 10
-/// of the old version's 282. The probability of that by chance is 1 in 1,200, which is too high for a
-/// threshold that is checked after every answer, and then the roll-out's duration had elapsed.
+/// of the old version's 282. The probability of that by chance is 1 in 1,200. A threshold that is
+/// checked after every answer must be stricter than that, so no roll-back followed before the
+/// roll-out's duration had elapsed.
 #[test]
 fn a_version_that_chance_hardly_explains_is_rolled_back_at_the_end() {
     let failures_last = |side: Side, failed: usize, total: usize| {
