--- a/crates/ivyweir-standins/examples/demo.rs
+++ b/crates/ivyweir-standins/examples/demo.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::{Guard, Intent, VersionRef};
-use ivyweir_standins::world::{OPERATOR_KEY, SERVICES, epoch_ms, quick_engine, workspace_key};
-use ivyweir_standins::{Outcome, World, WorldSpec, build_binaries, wait_until};
+use ivyweir_standins::cluster::{OPERATOR_KEY, SERVICES, epoch_ms, quick_engine, workspace_key};
+use ivyweir_standins::{Cluster, ClusterSpec, Outcome, build_binaries, wait_until};
 use serde_json::json;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
@@ -74,18 +74,18 @@
 type Summary = String;
 type Step = (&'static str, fn(&mut Story) -> Summary);
 
-fn start(binary: &std::path::Path) -> Result<World, Failure> {
+fn start(binary: &std::path::Path) -> Result<Cluster, Failure> {
     println!("starting {BOXES} boxes in 4 halls before 6 engines and a plain service …");
     let engine = || quick_engine(&[("notes@v1", 0.85), ("notes@v2", 0.95), ("tags@v1", 0.35)]);
     let halls = ["hall-a", "hall-b", "hall-c", "hall-d"];
-    let world = WorldSpec::new(binary, &halls, (0..6).map(|_| engine()).collect()).start()?;
+    let world = ClusterSpec::new(binary, &halls, (0..6).map(|_| engine()).collect()).start()?;
     let versions = [
         ("notes@v1", 4_000, 0.85),
         ("notes@v2", 4_000, 0.85),
         ("tags@v1", 500, 0.4),
     ];
     world.configure(&versions, &[("studio", 0.75, 2), ("network", 0.75, 1)]);
-    world.change(
+    world.apply_intent(
         0,
         &Intent::SetCurrent {
             at: "notes@v1".parse()?,
@@ -94,7 +94,7 @@
     Ok(world)
 }
 
-fn hold(world: &World, interrupted: &AtomicBool) -> Result<(), Failure> {
+fn hold(world: &Cluster, interrupted: &AtomicBool) -> Result<(), Failure> {
     let up = || world.boxes.iter().flatten();
     let line = json!({
         "caller_urls": up().map(|b| b.caller_url()).collect::<Vec<_>>(),
@@ -112,7 +112,7 @@
 }
 
 struct Story {
-    world: World,
+    world: Cluster,
     cli: std::path::PathBuf,
     interrupted: Arc<AtomicBool>,
 }
@@ -145,15 +145,15 @@
             steps: 4,
             guard: Guard::default(),
         };
-        let generation = self.world.change(1, &intent);
-        self.world.wait_in_force(generation);
+        let generation = self.world.apply_intent(1, &intent);
+        self.world.wait_for_generation(generation);
         let done = || {
             let status = self.world.operator(2).status();
             status.is_ok_and(|s| s.rollouts.iter().any(|r| r.state == "done"))
         };
         wait_until("the roll-out is done", done);
         self.world
-            .wait_in_force(self.world.operator(2).status().map_or(0, |s| s.generation));
+            .wait_for_generation(self.world.operator(2).status().map_or(0, |s| s.generation));
         let mut on_v2 = 0;
         const SESSIONS: usize = 40;
         for at in 0..SESSIONS {
@@ -185,7 +185,10 @@
         let path = format!("/services/{SERVICES}/sims/8");
         let answers: Vec<Outcome> = (0..BOXES)
             .map(|at| {
-                let caller = self.world.caller(at, "network").once("activate-sim-8");
+                let caller = self
+                    .world
+                    .caller(at, "network")
+                    .at_most_once("activate-sim-8");
                 caller.service(attohttpc::Method::POST, &path, "{}")
             })
             .collect();
@@ -214,7 +217,7 @@
             .status()
             .expect("a box answers")
             .generation;
-        self.world.wait_in_force(generation);
+        self.world.wait_for_generation(generation);
         let took = confirmed.elapsed();
         for at in 0..BOXES {
             let refused = self
@@ -248,7 +251,7 @@
     }
 
     fn replace_box(&mut self) -> Summary {
-        let pid = self.world.up(3).pid();
+        let pid = self.world.running_box(3).pid();
         self.world.kill_box(3);
         let operator = self.world.operator(0);
         let killed = Instant::now();
@@ -292,7 +295,7 @@
     fn cli(&self, args: &[&str]) -> String {
         let output = Command::new(&self.cli)
             .args(args)
-            .env("IVYWEIR_BOX", self.world.up(0).operator_url())
+            .env("IVYWEIR_BOX", self.world.running_box(0).operator_url())
             .env("IVYWEIR_KEY", OPERATOR_KEY)
             .output()
             .expect("the command line runs");
@@ -304,7 +307,7 @@
 
 fn check_whole(outcome: &Outcome) {
     assert!(
-        outcome.whole && outcome.text.ends_with("end."),
+        outcome.complete && outcome.text.ends_with("end."),
         "{outcome:?}"
     );
 }
--- a/crates/ivyweir-standins/examples/load/cost.rs
+++ b/crates/ivyweir-standins/examples/load/cost.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use ivyweir_policy::billing::{Bill, Segment};
-use ivyweir_standins::World;
+use ivyweir_standins::Cluster;
 
 /// Price of all requests billed since `from_ms`, when every box has flushed.
-pub fn settled_since(world: &World, from_ms: u64) -> u64 {
+pub fn settled_since(world: &Cluster, from_ms: u64) -> u64 {
     let mut last = None;
     loop {
         let total = since(world, from_ms);
@@ -18,7 +18,7 @@
     }
 }
 
-fn since(world: &World, from_ms: u64) -> u64 {
+fn since(world: &Cluster, from_ms: u64) -> u64 {
     let segments = world.platform.peek_all("bill/").into_iter().map(|body| {
         let mut segment: Segment = serde_json::from_slice(&body).expect("segments are valid JSON");
         segment.records.retain(|r| r.at_ms >= from_ms);
--- a/crates/ivyweir-standins/examples/load/drive.rs
+++ b/crates/ivyweir-standins/examples/load/drive.rs
@@ -5,8 +5,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use ivyweir_standins::cluster::{Cluster, workspace_key};
 use ivyweir_standins::text;
-use ivyweir_standins::world::{World, workspace_key};
 use ivyweir_standins::{Caller, Outcome};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -112,7 +112,7 @@
 }
 
 /// Callers by box and workspace.
-pub fn callers(world: &World, workspaces: usize) -> Vec<Vec<Caller>> {
+pub fn callers(world: &Cluster, workspaces: usize) -> Vec<Vec<Caller>> {
     world
         .boxes
         .iter()
@@ -197,13 +197,13 @@
         let wait = job.at.saturating_sub(started.elapsed());
         thread::sleep(wait);
         let caller = callers[job.box_at][job.workspace]
-            .with("X-Ivyweir-Deadline-Ms", &plan.deadline_ms.to_string());
+            .with_header("X-Ivyweir-Deadline-Ms", &plan.deadline_ms.to_string());
         let outcome = if job.stream {
             caller.stream(plan.model, &job.prompt, job.tokens)
         } else {
             caller.chat(plan.model, &job.prompt, job.tokens)
         };
-        let quality = text::quality(&job.prompt, &outcome.text).filter(|_| outcome.whole);
+        let quality = text::quality(&job.prompt, &outcome.text).filter(|_| outcome.complete);
         done.lock().expect("no worker panics").push(Done {
             workspace: job.workspace,
             quality,
--- a/crates/ivyweir-standins/examples/load/overhead.rs
+++ b/crates/ivyweir-standins/examples/load/overhead.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use ivyweir_standins::world::quick_engine;
-use ivyweir_standins::{Caller, WorldSpec};
+use ivyweir_standins::cluster::quick_engine;
+use ivyweir_standins::{Caller, ClusterSpec};
 
 use crate::{Args, report};
 
@@ -32,10 +32,10 @@
     fn call(&mut self, caller: &Caller, model: &str, prompt: &str) {
         let micros = |time: Duration| time.as_micros() as u64;
         let whole = caller.chat(model, prompt, TOKENS);
-        assert!(whole.whole, "{whole:?}");
+        assert!(whole.complete, "{whole:?}");
         self.whole.saturating_record(micros(whole.total));
         let stream = caller.stream(model, prompt, TOKENS);
-        assert!(stream.whole, "{stream:?}");
+        assert!(stream.complete, "{stream:?}");
         self.first_token
             .saturating_record(micros(stream.first_token));
     }
@@ -52,7 +52,7 @@
 pub fn run(args: &Args, binary: &Path) -> Result<(), Failure> {
     let halls = ["hall-a", "hall-b", "hall-c"];
     let engines = (0..4).map(|_| quick_engine(&[("notes@v1", 0.9)])).collect();
-    let world = WorldSpec::new(binary, &halls, engines).start()?;
+    let world = ClusterSpec::new(binary, &halls, engines).start()?;
     world.configure(&[("notes@v1", 1_000, 0.9)], &[("studio", 0.5, 1)]);
     let rounds = args.seconds * 40;
     let (mut through, mut direct) = (Times::new(), Times::new());
--- a/crates/ivyweir-standins/examples/load/recover.rs
+++ b/crates/ivyweir-standins/examples/load/recover.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::Intent;
-use ivyweir_standins::world::quick_engine;
-use ivyweir_standins::{CallCount, PlatformFaults, World, WorldSpec};
+use ivyweir_standins::cluster::quick_engine;
+use ivyweir_standins::{CallCount, Cluster, ClusterSpec, PlatformFaults};
 
 use crate::Args;
 
@@ -24,7 +24,7 @@
 /// Measures and prints.
 pub fn run(args: &Args, binary: &Path) -> Result<(), Failure> {
     let engines = (0..6).map(|_| quick_engine(&[("notes@v1", 0.9)])).collect();
-    let mut world = WorldSpec::new(binary, &HALLS, engines).start()?;
+    let mut world = ClusterSpec::new(binary, &HALLS, engines).start()?;
     world.configure(&[("notes@v1", 1_000, 0.9)], &[("studio", 0.5, 1)]);
     thread::sleep(Duration::from_secs(3));
     println!("| what, nine boxes | measured |\n|---|---|");
@@ -48,14 +48,14 @@
     Ok(())
 }
 
-fn store_calls(world: &World, during: impl FnOnce()) -> f64 {
+fn store_calls(world: &Cluster, during: impl FnOnce()) -> f64 {
     let total = |c: CallCount| (c.reads + c.watches + c.writes) as f64;
     let (before, started) = (total(world.platform.count()), Instant::now());
     during();
     (total(world.platform.count()) - before) / started.elapsed().as_secs_f64()
 }
 
-fn in_force(world: &World, what: &str) {
+fn in_force(world: &Cluster, what: &str) {
     let mut times_ms: Vec<u128> = (0..ROUNDS)
         .map(|n| {
             let intent = Intent::CreateEvent {
@@ -67,7 +67,7 @@
             let plan = operator.plan(&intent).expect("the intent fits");
             let started = Instant::now();
             operator.confirm(&plan).expect("the box answers");
-            world.wait_in_force(plan.base_generation + 1);
+            world.wait_for_generation(plan.base_generation + 1);
             started.elapsed().as_millis()
         })
         .collect();
@@ -80,7 +80,7 @@
 
 /// Calls boxes all the time while `during` runs. Returns when, since the start, calls failed.
 fn under_calls(
-    world: &World,
+    world: &Cluster,
     boxes: std::ops::Range<usize>,
     during: impl FnOnce(),
 ) -> (usize, Vec<Duration>) {
@@ -96,7 +96,7 @@
                     let mut count = 0;
                     while !stop.load(Ordering::Relaxed) {
                         count += 1;
-                        if !caller.chat("notes", &format!("{n} {count}"), 8).whole {
+                        if !caller.chat("notes", &format!("{n} {count}"), 8).complete {
                             failures.lock().expect("no panic").push(started.elapsed());
                         }
                     }
@@ -114,7 +114,7 @@
     (calls, failures.into_inner().expect("no panic"))
 }
 
-fn leaving(world: &World) {
+fn leaving(world: &Cluster) {
     let engine = &world.engines[0];
     let mut marked = Duration::ZERO;
     let (calls, failures) = under_calls(world, 0..HALLS.len(), || {
@@ -138,9 +138,9 @@
 }
 
 /// Callers use the eight boxes that stay; what they notice of the ninth is what is measured.
-fn killed(world: &mut World) {
+fn killed(world: &mut Cluster) {
     let victim = HALLS.len() - 1;
-    let pid = world.up(victim).pid().to_string();
+    let pid = world.running_box(victim).pid().to_string();
     let (calls, failures) = under_calls(world, 0..victim, || {
         thread::sleep(Duration::from_secs(1));
         let sent = std::process::Command::new("kill")
--- a/crates/ivyweir-standins/examples/load/report.rs
+++ b/crates/ivyweir-standins/examples/load/report.rs
@@ -75,7 +75,7 @@
 /// Condenses a run.
 pub fn summarise(measured: Measured) -> Row {
     let done = &measured.done;
-    let whole: Vec<&Done> = done.iter().filter(|d| d.outcome.whole).collect();
+    let whole: Vec<&Done> = done.iter().filter(|d| d.outcome.complete).collect();
     let deadline = Duration::from_millis(measured.deadline_ms);
     let good = whole
         .iter()
@@ -83,7 +83,7 @@
         .count();
     let qualities: Vec<f64> = whole.iter().filter_map(|d| d.quality).collect();
     let mut refusals = BTreeMap::new();
-    for refused in done.iter().filter(|d| !d.outcome.whole) {
+    for refused in done.iter().filter(|d| !d.outcome.complete) {
         let code = if refused.outcome.code.is_empty() {
             "no_answer"
         } else {
@@ -92,7 +92,7 @@
         *refusals.entry(code.to_owned()).or_default() += 1;
     }
     let others: Vec<&Done> = done.iter().filter(|d| d.workspace != 0).collect();
-    let others_whole = others.iter().filter(|d| d.outcome.whole).count();
+    let others_whole = others.iter().filter(|d| d.outcome.complete).count();
     Row {
         whole: whole.len(),
         good,
@@ -241,7 +241,7 @@
 }
 
 fn curve(done: &[Done]) -> Vec<(f64, f64)> {
-    let streams = done.iter().filter(|d| d.stream && d.outcome.whole);
+    let streams = done.iter().filter(|d| d.stream && d.outcome.complete);
     let mut times: Vec<f64> = streams
         .map(|d| d.outcome.first_token.as_secs_f64() * 1e3)
         .collect();
--- a/crates/ivyweir-standins/examples/load/scenario.rs
+++ b/crates/ivyweir-standins/examples/load/scenario.rs
@@ -5,8 +5,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ivyweir_standins::world::epoch_ms;
-use ivyweir_standins::{Behaviour, EngineOptions, PlatformFaults, Speed, World, WorldSpec};
+use ivyweir_standins::cluster::epoch_ms;
+use ivyweir_standins::{Behaviour, Cluster, ClusterSpec, EngineOptions, PlatformFaults, Speed};
 use serde_json::{Value, json};
 
 use crate::Args;
@@ -193,8 +193,8 @@
     }))
 }
 
-fn start(binary: &Path, deployment: &Deployment, policy: &str) -> Result<World, Failure> {
-    let mut spec = WorldSpec::new(
+fn start(binary: &Path, deployment: &Deployment, policy: &str) -> Result<Cluster, Failure> {
+    let mut spec = ClusterSpec::new(
         binary,
         &deployment.halls,
         (0..deployment.engines).map(|_| engine()).collect(),
@@ -235,7 +235,7 @@
 }
 
 /// What happens at the start of the event.
-fn disturb(world: &World, scenario: &str) {
+fn disturb(world: &Cluster, scenario: &str) {
     match scenario {
         "bad_version" => {
             for engine in &world.engines {
@@ -249,7 +249,7 @@
         }
         "third_gone" => {
             for engine in world.engines.iter().step_by(3) {
-                engine.set_dead(true);
+                engine.set_down(true);
             }
         }
         "store_out" => world.platform.set_faults(PlatformFaults {
@@ -260,16 +260,16 @@
     }
 }
 
-fn cache_use(world: &World) -> (u64, u64) {
+fn cache_use(world: &Cluster) -> (u64, u64) {
     world
         .engines
         .iter()
-        .map(|e| e.cache_use())
+        .map(|e| e.prefix_cache_stats())
         .fold((0, 0), |(hits, looks), (h, l)| (hits + h, looks + l))
 }
 
 /// Engine calls on the version that turned bad, from then on.
-fn exposed(world: &World, engines_now: &[Duration], after: Duration) -> usize {
+fn exposed(world: &Cluster, engines_now: &[Duration], after: Duration) -> usize {
     world
         .engines
         .iter()
--- a/crates/ivyweir-standins/examples/load/size.rs
+++ b/crates/ivyweir-standins/examples/load/size.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::Intent;
-use ivyweir_standins::world::quick_engine;
-use ivyweir_standins::{BoxProcess, World, WorldSpec};
+use ivyweir_standins::cluster::quick_engine;
+use ivyweir_standins::{BoxProcess, Cluster, ClusterSpec};
 
 use crate::Args;
 
@@ -43,7 +43,7 @@
     let engines = (0..upstreams)
         .map(|_| quick_engine(&[("notes@v1", 0.9), ("tags@v1", 0.5)]))
         .collect();
-    let world = WorldSpec::new(binary, &halls, engines).start()?;
+    let world = ClusterSpec::new(binary, &halls, engines).start()?;
     world.configure(
         &[("notes@v1", 1_000, 0.9), ("tags@v1", 100, 0.5)],
         &[("studio", 0.5, 1)],
@@ -85,7 +85,7 @@
 }
 
 /// Times from a confirm until every box has the change, over a few changes.
-fn in_force(world: &World) -> (u128, u128) {
+fn in_force(world: &Cluster) -> (u128, u128) {
     let mut times: Vec<u128> = (0..5)
         .map(|n| {
             let started = Instant::now();
@@ -94,8 +94,8 @@
                 start_ms: 1,
                 workspaces: vec![],
             };
-            let generation = world.change(n % world.boxes.len(), &intent);
-            world.wait_in_force(generation);
+            let generation = world.apply_intent(n % world.boxes.len(), &intent);
+            world.wait_for_generation(generation);
             started.elapsed().as_millis()
         })
         .collect();
--- a/crates/ivyweir-standins/src/caller.rs
+++ b/crates/ivyweir-standins/src/caller.rs
@@ -24,7 +24,7 @@
     /// The answer's text, or what there was of it.
     pub text: String,
     /// Whether the answer was whole.
-    pub whole: bool,
+    pub complete: bool,
     /// The refusal's code, if it was one.
     pub code: String,
     /// Whether a refused request has run: `not_run` or `unknown`.
@@ -57,7 +57,7 @@
 
     /// The same caller with one more header.
     #[must_use]
-    pub fn with(&self, name: &str, value: &str) -> Self {
+    pub fn with_header(&self, name: &str, value: &str) -> Self {
         let mut caller = self.clone();
         caller.headers.push((name.to_owned(), value.to_owned()));
         caller
@@ -65,9 +65,9 @@
 
     /// The same caller with a request key and the mark that it may run at most once.
     #[must_use]
-    pub fn once(&self, key: &str) -> Self {
-        self.with("Idempotency-Key", key)
-            .with("X-Ivyweir-Repeatable", "no")
+    pub fn at_most_once(&self, key: &str) -> Self {
+        self.with_header("Idempotency-Key", key)
+            .with_header("X-Ivyweir-Repeatable", "no")
     }
 
     /// A request on this box's API.
@@ -103,7 +103,7 @@
     /// The same caller in a session.
     #[must_use]
     pub fn in_session(&self, token: &str) -> Self {
-        self.with("X-Ivyweir-Session", token)
+        self.with_header("X-Ivyweir-Session", token)
     }
 
     /// Asks for a whole answer.
@@ -150,7 +150,7 @@
     Outcome {
         status,
         text: String::new(),
-        whole: false,
+        complete: false,
         code: String::new(),
         run: String::new(),
         version: String::new(),
@@ -184,7 +184,7 @@
     };
     Outcome {
         text: text("/choices/0/message/content"),
-        whole: status == 200,
+        complete: status == 200,
         code: text("/error/code"),
         run: text("/error/run"),
         version,
@@ -216,7 +216,7 @@
             continue;
         };
         if data == "[DONE]" {
-            outcome.whole = has_finish;
+            outcome.complete = has_finish;
             break;
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
--- a/crates/ivyweir-standins/src/world.rs
+++ b/crates/ivyweir-standins/src/cluster.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::{
-    BoxProcess, BoxSpec, Caller, Engine, EngineOptions, Gateway, Platform, PlatformOptions, Rating,
-    Service, Settings, wait_until,
+    BoxProcess, BoxSpec, Caller, Engine, EngineOptions, FaultProxy, Platform, PlatformOptions,
+    Rating, Service, Settings, wait_until,
 };
 
 /// The first operator's key in every world.
@@ -25,7 +25,7 @@
 pub const SERVICES: &str = "activation";
 
 /// What a world is made of.
-pub struct WorldSpec {
+pub struct ClusterSpec {
     /// The `ivyweird` binary.
     pub binary: PathBuf,
     /// Halls of the boxes, one box each.
@@ -41,13 +41,13 @@
     /// The boxes' `limits` settings.
     pub limits: Option<serde_json::Value>,
     /// Whether boxes reach the platform through gateways of their own.
-    pub platform_gateways: bool,
+    pub platform_proxies: bool,
     /// Whether peers reach boxes through gateways.
-    pub peer_gateways: bool,
+    pub peer_proxies: bool,
 }
 
 /// A running world.
-pub struct World {
+pub struct Cluster {
     /// The platform.
     pub platform: Platform,
     /// The rating service.
@@ -61,13 +61,13 @@
     /// What the boxes are started with.
     pub specs: Vec<BoxSpec>,
     /// Between each box and the platform.
-    pub platform_gateways: Vec<Gateway>,
+    pub platform_proxies: Vec<FaultProxy>,
     /// Before the peer address of each box.
-    pub peer_gateways: Vec<Gateway>,
+    pub peer_proxies: Vec<FaultProxy>,
     folder: PathBuf,
 }
 
-impl Drop for World {
+impl Drop for Cluster {
     fn drop(&mut self) {
         self.boxes.clear();
         if !std::thread::panicking() {
@@ -82,7 +82,7 @@
     since.unwrap_or_default().as_millis() as u64
 }
 
-impl WorldSpec {
+impl ClusterSpec {
     /// A world of boxes in these halls before `engines` engines of one kind and one service.
     pub fn new(
         binary: impl Into<PathBuf>,
@@ -97,8 +97,8 @@
             platform: PlatformOptions::default(),
             policy: None,
             limits: None,
-            platform_gateways: false,
-            peer_gateways: false,
+            platform_proxies: false,
+            peer_proxies: false,
         }
     }
 
@@ -107,22 +107,22 @@
     /// # Errors
     ///
     /// When a port cannot be bound or a process not be started.
-    pub fn start(self) -> io::Result<World> {
+    pub fn start(self) -> io::Result<Cluster> {
         let platform = Platform::start(self.platform)?;
         let rating = Rating::start()?;
         let halls: Vec<&str> = self.box_halls.clone();
         let engines = list_engines(&platform, &halls, &self.engines)?;
         let services = list_services(&platform, &halls, self.services)?;
         let unique = format!("ivyweir-{}", platform.addr().replace([':', '.'], "-"));
-        let mut world = World {
+        let mut world = Cluster {
             platform,
             rating,
             engines,
             services,
             boxes: Vec::new(),
             specs: Vec::new(),
-            platform_gateways: Vec::new(),
-            peer_gateways: Vec::new(),
+            platform_proxies: Vec::new(),
+            peer_proxies: Vec::new(),
             folder: std::env::temp_dir().join(unique),
         };
         for (at, hall) in self.box_halls.iter().enumerate() {
@@ -144,7 +144,7 @@
     let mut engines = Vec::new();
     for (at, options) in options.iter().enumerate() {
         let engine = Engine::start(options.clone())?;
-        platform.list_box(upstream(
+        platform.register_box(upstream(
             &format!("engine-{at:02}"),
             &engine.addr(),
             halls,
@@ -160,7 +160,7 @@
     let mut services = Vec::new();
     for at in 0..count {
         let service = Service::start()?;
-        platform.list_box(upstream(
+        platform.register_box(upstream(
             &format!("service-{at}"),
             &service.addr(),
             halls,
@@ -183,15 +183,15 @@
     }
 }
 
-impl World {
-    fn add_box(&mut self, spec: &WorldSpec, at: usize, hall: &str) -> io::Result<()> {
+impl Cluster {
+    fn add_box(&mut self, spec: &ClusterSpec, at: usize, hall: &str) -> io::Result<()> {
         let name = format!("box-{}", at + 1);
         let any_port = || "127.0.0.1:0".to_owned();
         let mut platform_url = self.platform.base_url();
-        if spec.platform_gateways {
-            let gateway = Gateway::start(&self.platform.addr())?;
+        if spec.platform_proxies {
+            let gateway = FaultProxy::start(&self.platform.addr())?;
             platform_url = format!("http://{}", gateway.addr());
-            self.platform_gateways.push(gateway);
+            self.platform_proxies.push(gateway);
         }
         let settings = Settings {
             box_name: name.clone(),
@@ -209,11 +209,11 @@
             seed_peers: Vec::new(),
         };
         let mut settings = settings;
-        if spec.peer_gateways {
+        if spec.peer_proxies {
             // Its target is set when the box says where it listens.
-            let gateway = Gateway::start("127.0.0.1:1")?;
+            let gateway = FaultProxy::start("127.0.0.1:1")?;
             settings.advertised_peer_addr = Some(gateway.addr());
-            self.peer_gateways.push(gateway);
+            self.peer_proxies.push(gateway);
         }
         self.specs.push(BoxSpec {
             binary: spec.binary.clone(),
@@ -227,13 +227,13 @@
 
     /// Puts a box that is up on the platform's list, at the address where peers reach it.
     fn list_entry(&self, at: usize) {
-        let settings = &self.up(at).settings;
+        let settings = &self.running_box(at).settings;
         let mut addr = settings.peer_addr.clone();
-        if let Some(gateway) = self.peer_gateways.get(at) {
+        if let Some(gateway) = self.peer_proxies.get(at) {
             gateway.set_target(&addr);
             addr = gateway.addr();
         }
-        self.platform.list_box(BoxEntry {
+        self.platform.register_box(BoxEntry {
             name: settings.box_name.as_str().into(),
             kind: BoxKind::Entry,
             addr: addr.as_str().into(),
@@ -262,7 +262,7 @@
     }
 
     /// A box that is up.
-    pub fn up(&self, at: usize) -> &BoxProcess {
+    pub fn running_box(&self, at: usize) -> &BoxProcess {
         self.boxes[at].as_ref().expect("the box is up")
     }
 
@@ -291,16 +291,19 @@
 
     /// The first operator, at a box.
     pub fn operator(&self, at: usize) -> Client {
-        Client::new(self.up(at).operator_url(), OPERATOR_KEY)
+        Client::new(self.running_box(at).operator_url(), OPERATOR_KEY)
     }
 
     /// A caller of a workspace, at a box.
     pub fn caller(&self, at: usize, workspace: &str) -> Caller {
-        Caller::new(&self.up(at).caller_url(), &workspace_key(workspace))
+        Caller::new(
+            &self.running_box(at).caller_url(),
+            &workspace_key(workspace),
+        )
     }
 
     /// Plans and confirms an intent at a box, until it is accepted.
-    pub fn change(&self, at: usize, intent: &Intent) -> u64 {
+    pub fn apply_intent(&self, at: usize, intent: &Intent) -> u64 {
         let operator = self.operator(at);
         let mut plan = operator.plan(intent).expect("the intent fits");
         for _ in 0..CONFIRM_TRIES {
@@ -317,7 +320,7 @@
     }
 
     /// Waits until a generation is in force on every box that is up.
-    pub fn wait_in_force(&self, generation: u64) {
+    pub fn wait_for_generation(&self, generation: u64) {
         for process in self.boxes.iter().flatten() {
             let client = Client::new(process.operator_url(), OPERATOR_KEY);
             let in_force = || client.status().is_ok_and(|s| s.generation >= generation);
@@ -334,14 +337,14 @@
             kind,
             checks_fence: kind == PoolKind::Engine,
         };
-        self.change(
+        self.apply_intent(
             0,
             &Intent::PutPool {
                 name: ENGINES.into(),
                 pool: pool(PoolKind::Engine),
             },
         );
-        self.change(
+        self.apply_intent(
             0,
             &Intent::PutPool {
                 name: SERVICES.into(),
@@ -350,7 +353,7 @@
         );
         for (at, cost_micro_per_ktoken, prior_quality) in versions {
             let at: VersionRef = at.parse().expect("versions are written model@version");
-            self.change(
+            self.apply_intent(
                 0,
                 &Intent::AddVersion {
                     at,
@@ -373,9 +376,9 @@
                 services: vec![SERVICES.into()],
             };
             let name: Name = (*name).into();
-            generation = self.change(0, &Intent::PutWorkspace { name, workspace });
+            generation = self.apply_intent(0, &Intent::PutWorkspace { name, workspace });
         }
-        self.wait_in_force(generation);
+        self.wait_for_generation(generation);
     }
 
     /// The settings files and logs.
--- a/crates/ivyweir-standins/src/edge/scripted.rs
+++ b/crates/ivyweir-standins/src/edge/scripted.rs
@@ -19,7 +19,7 @@
 use tokio::time::sleep;
 
 use super::town::serve_until;
-use crate::loopback::own_ip;
+use crate::loopback::unique_ip;
 
 type Body = UnsyncBoxBody<Bytes, io::Error>;
 
@@ -131,7 +131,7 @@
     /// Starts an upstream on a free port of an address of loopback that no other test has, so that nobody
     /// listens there once it has ended.
     pub fn start_alone(id: &str, pool: &str, version: &str) -> Self {
-        Self::start_at((own_ip(), 0).into(), id, pool, version)
+        Self::start_at((unique_ip(), 0).into(), id, pool, version)
     }
 
     /// Starts an upstream, as [`start_alone`](Self::start_alone), that tells when its process started: it may have
--- a/crates/ivyweir-standins/src/engine.rs
+++ b/crates/ivyweir-standins/src/engine.rs
@@ -128,13 +128,13 @@
     }
 
     /// Makes every step this much slower.
-    pub fn set_slow(&self, factor: u64) {
-        self.shared.scheduler.set_slow(factor);
+    pub fn set_slowdown(&self, factor: u64) {
+        self.shared.scheduler.set_slowdown(factor);
     }
 
     /// Breaks off all work and takes none, or takes some again.
-    pub fn set_dead(&self, dead: bool) {
-        self.shared.scheduler.set_dead(dead);
+    pub fn set_down(&self, dead: bool) {
+        self.shared.scheduler.set_down(dead);
     }
 
     /// All calls that it took up.
@@ -148,8 +148,8 @@
     }
 
     /// Blocks found in the prefix cache, and blocks looked for.
-    pub fn cache_use(&self) -> (u64, u64) {
-        self.shared.scheduler.cache_use()
+    pub fn prefix_cache_stats(&self) -> (u64, u64) {
+        self.shared.scheduler.prefix_cache_stats()
     }
 }
 
--- a/crates/ivyweir-standins/src/gateway.rs
+++ b/crates/ivyweir-standins/src/fault_proxy.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::loopback::own_ip;
+use crate::loopback::unique_ip;
 
 const STACK_BYTES: usize = 64 << 10;
 const PIECE_BYTES: usize = 16 << 10;
@@ -31,13 +31,13 @@
 }
 
 /// A running gateway.
-pub struct Gateway {
+pub struct FaultProxy {
     addr: SocketAddr,
     fault: Arc<Mutex<Fault>>,
     target: Arc<Mutex<String>>,
 }
 
-impl Gateway {
+impl FaultProxy {
     /// Starts a gateway to `target` on a free port.
     ///
     /// # Errors
@@ -53,8 +53,8 @@
     /// # Errors
     ///
     /// When no port can be bound.
-    pub fn start_alone(target: &str) -> io::Result<Self> {
-        Self::start_on(own_ip(), target)
+    pub fn start_on_unique_ip(target: &str) -> io::Result<Self> {
+        Self::start_on(unique_ip(), target)
     }
 
     fn start_on(ip: Ipv4Addr, target: &str) -> io::Result<Self> {
--- a/crates/ivyweir-standins/src/lib.rs
+++ b/crates/ivyweir-standins/src/lib.rs
@@ -11,26 +11,26 @@
 //! assert!(platform.base_url().starts_with("http://127.0.0.1:"));
 //! ```
 
+mod box_process;
 mod caller;
 mod child;
+pub mod cluster;
 pub mod edge;
 mod engine;
-mod fleet;
-mod gateway;
+mod fault_proxy;
 mod loopback;
 mod platform;
 mod rating;
 mod scheduler;
 mod service;
 pub mod text;
-pub mod world;
 
+pub use box_process::{BoxProcess, BoxSpec, Settings, build_binaries};
 pub use caller::{Caller, Outcome};
+pub use cluster::{Cluster, ClusterSpec};
 pub use engine::{Behaviour, Engine, EngineOptions, EngineRun, wait_until};
-pub use fleet::{BoxProcess, BoxSpec, Settings, build_binaries};
-pub use gateway::{Fault, Gateway};
+pub use fault_proxy::{Fault, FaultProxy};
 pub use platform::{CallCount, Platform, PlatformFaults, PlatformOptions};
 pub use rating::Rating;
 pub use scheduler::Speed;
 pub use service::{Service, ServiceRun};
-pub use world::{World, WorldSpec};
--- a/crates/ivyweir-standins/src/loopback.rs
+++ b/crates/ivyweir-standins/src/loopback.rs
@@ -8,7 +8,7 @@
 
 /// An address that few others have: what listens there is not found by callers of a process that ended and whose port was
 /// given away again.
-pub(crate) fn own_ip() -> Ipv4Addr {
+pub(crate) fn unique_ip() -> Ipv4Addr {
     static GIVEN: AtomicU64 = AtomicU64::new(0);
     let number = GIVEN.fetch_add(1, Ordering::Relaxed);
     let process = u64::from(std::process::id());
--- a/crates/ivyweir-standins/src/platform.rs
+++ b/crates/ivyweir-standins/src/platform.rs
@@ -39,7 +39,7 @@
     /// Every call takes this much longer.
     pub delay_ms: u64,
     /// One write in so many takes effect and has its answer lost; 0 for none.
-    pub lose_answer_every: u64,
+    pub lose_response_every: u64,
 }
 
 /// How often the platform was called.
@@ -159,7 +159,7 @@
     }
 
     /// Puts a machine on the list, or replaces it there.
-    pub fn list_box(&self, entry: BoxEntry) {
+    pub fn register_box(&self, entry: BoxEntry) {
         let mut state = self.shared.lock();
         state.boxes.boxes.retain(|b| b.name != entry.name);
         state.boxes.boxes.push(entry);
@@ -181,7 +181,7 @@
     }
 
     /// Takes a machine off the list.
-    pub fn unlist_box(&self, name: &str) {
+    pub fn deregister_box(&self, name: &str) {
         let mut state = self.shared.lock();
         state.boxes.boxes.retain(|b| b.name.as_ref() != name);
         state.boxes.generation += 1;
@@ -272,7 +272,7 @@
             None => drop(state.objects.remove(name)),
         }
         self.changed.notify_all();
-        let every = state.faults.lose_answer_every;
+        let every = state.faults.lose_response_every;
         if every > 0 && revision.is_multiple_of(every) {
             return Reply::text(500, "answer lost");
         }
--- a/crates/ivyweir-standins/src/scheduler.rs
+++ b/crates/ivyweir-standins/src/scheduler.rs
@@ -122,18 +122,18 @@
     }
 
     /// Blocks found in the prefix cache, and blocks looked for.
-    pub fn cache_use(&self) -> (u64, u64) {
+    pub fn prefix_cache_stats(&self) -> (u64, u64) {
         let state = self.lock();
         (state.cache_hits, state.cache_looks)
     }
 
     /// Makes every step this much slower.
-    pub fn set_slow(&self, factor: u64) {
+    pub fn set_slowdown(&self, factor: u64) {
         self.lock().slow_factor = factor.max(1);
     }
 
     /// Drops all sequences and takes no more, or takes some again.
-    pub fn set_dead(&self, dead: bool) {
+    pub fn set_down(&self, dead: bool) {
         let mut state = self.lock();
         state.dead = dead;
         if dead {
--- a/crates/ivyweir-standins/src/service.rs
+++ b/crates/ivyweir-standins/src/service.rs
@@ -73,7 +73,7 @@
     }
 
     /// Makes every call take effect and fail.
-    pub fn set_lose_answers(&self, lose: bool) {
+    pub fn set_lose_responses(&self, lose: bool) {
         self.shared.lose_answers.store(lose, Ordering::Relaxed);
     }
 }
--- a/crates/ivyweird/tests/access.rs
+++ b/crates/ivyweird/tests/access.rs
@@ -10,8 +10,8 @@
 use ivyweir_operator::Client;
 use ivyweir_peer::pb;
 use ivyweir_policy::{Intent, Operator, Role};
-use ivyweir_standins::world::hash_hex;
-use ivyweir_standins::{World, wait_until};
+use ivyweir_standins::cluster::hash_hex;
+use ivyweir_standins::{Cluster, wait_until};
 
 #[test]
 fn a_viewer_may_look_and_a_stranger_may_not() {
@@ -20,15 +20,15 @@
         key_hash: hash_hex("viewer key").as_str().into(),
         role: Role::Viewer,
     };
-    let generation = world.change(
+    let generation = world.apply_intent(
         0,
         &Intent::PutOperator {
             name: "vera".into(),
             operator: viewer,
         },
     );
-    world.wait_in_force(generation);
-    let url = world.up(1).operator_url();
+    world.wait_for_generation(generation);
+    let url = world.running_box(1).operator_url();
     let vera = Client::new(&url, "viewer key");
     assert!(vera.status().is_ok());
     let refused = |error: ivyweir_operator::Error| error.status();
@@ -51,7 +51,7 @@
 #[test]
 fn a_peer_without_the_fleet_key_is_not_heard() {
     let world = three();
-    let addr = world.up(0).settings.peer_addr.clone();
+    let addr = world.running_box(0).settings.peer_addr.clone();
     let stranger = ivyweir_peer::Client::new(b"another key").expect("threads can be made");
     let forged = pb::Digest {
         r#box: "box-9".into(),
@@ -69,9 +69,9 @@
 }
 
 /// Sends raw bytes and reads what comes back until the box closes or falls silent.
-fn send_raw(world: &World, bytes: &[u8]) -> String {
+fn send_raw(world: &Cluster, bytes: &[u8]) -> String {
     let mut socket =
-        TcpStream::connect(&world.up(0).settings.caller_addr).expect("the box listens");
+        TcpStream::connect(&world.running_box(0).settings.caller_addr).expect("the box listens");
     socket
         .set_read_timeout(Some(Duration::from_secs(30)))
         .expect("a valid time");
@@ -98,7 +98,7 @@
             let runs: usize = world.engines.iter().map(|e| e.runs().len()).sum();
             assert_eq!(runs, 0);
             wait_until("the box serves on", || {
-                world.caller(0, "studio").chat("notes", "hello", 4).whole
+                world.caller(0, "studio").chat("notes", "hello", 4).complete
             });
         }
     };
--- a/crates/ivyweird/tests/answers.rs
+++ b/crates/ivyweird/tests/answers.rs
@@ -7,11 +7,11 @@
 
 use common::{at, set_current, spec, start, three, wait_billed};
 use ivyweir_policy::{Guard, Intent};
-use ivyweir_standins::world::{epoch_ms, quick_engine};
-use ivyweir_standins::{Behaviour, World, WorldSpec, text, wait_until};
+use ivyweir_standins::cluster::{epoch_ms, quick_engine};
+use ivyweir_standins::{Behaviour, Cluster, ClusterSpec, text, wait_until};
 use serde_json::json;
 
-fn behave(world: &World, version: &str, behaviour: Behaviour) {
+fn behave(world: &Cluster, version: &str, behaviour: Behaviour) {
     for engine in &world.engines {
         engine.set_behaviour(version, behaviour);
     }
@@ -32,7 +32,7 @@
                 } else {
                     caller.stream("notes", &prompt, 12)
                 };
-                if outcome.whole {
+                if outcome.complete {
                     whole += 1;
                     let own = text::quality(&prompt, &outcome.text).is_some();
                     assert!(own, "an answer to another request: {outcome:?}");
@@ -61,7 +61,7 @@
         options.speed.step_us = 10_000;
         options
     };
-    let world = start(WorldSpec {
+    let world = start(ClusterSpec {
         engines: vec![slow(), slow()],
         ..spec(&["hall-a", "hall-b"])
     });
@@ -76,10 +76,10 @@
             .iter()
             .find(|e| !e.runs().is_empty())
             .expect("one has it");
-        busy.set_dead(true);
+        busy.set_down(true);
         stream.join().expect("no caller panics")
     });
-    assert!(outcome.whole, "{outcome:?}");
+    assert!(outcome.complete, "{outcome:?}");
     assert_eq!(
         outcome.text.split(' ').count(),
         200,
@@ -104,14 +104,14 @@
             .collect();
         let started = || world.engines.iter().map(|e| e.runs().len()).sum::<usize>() == 6;
         wait_until("all streams have started", started);
-        world.up(0).signal("TERM");
+        world.running_box(0).signal("TERM");
         let late = world.caller(0, "studio");
         loop {
             let outcome = late.chat("notes", "late", 4);
             if outcome.code == "draining" {
                 break;
             }
-            assert!(outcome.whole, "{outcome:?}");
+            assert!(outcome.complete, "{outcome:?}");
             served_late += 1;
         }
         streams
@@ -120,7 +120,7 @@
             .collect::<Vec<_>>()
     });
     assert!(
-        outcomes.iter().all(|o| o.whole && o.tokens == 3_000),
+        outcomes.iter().all(|o| o.complete && o.tokens == 3_000),
         "{outcomes:?}"
     );
     let mut stopping = world.boxes[0].take().expect("the box is up");
@@ -147,7 +147,7 @@
             world
                 .caller(n % 3, "studio")
                 .chat("notes", &format!("e{n}"), 4)
-                .whole
+                .complete
         );
     }
     assert_eq!(world.engines[0].runs().len(), before);
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_session_keeps_its_version_over_roll_outs_rotations_and_restarts() {
-    let mut world = start(WorldSpec {
+    let mut world = start(ClusterSpec {
         limits: Some(json!({ "session_key_ms": 1_500, "session_ms": 60_000 })),
         ..spec(&["hall-a", "hall-b", "hall-c"])
     });
@@ -173,7 +173,7 @@
     wait_until("the key has rotated", || keys() > before);
     set_current(&world, "notes@v2");
     let now_ms = epoch_ms();
-    world.change(
+    world.apply_intent(
         1,
         &Intent::Roll {
             workspace: "studio".into(),
@@ -207,8 +207,8 @@
             "notes@v2"
         );
     }
-    let generation = world.change(2, &Intent::Withdraw { at: at("notes@v1") });
-    world.wait_in_force(generation);
+    let generation = world.apply_intent(2, &Intent::Withdraw { at: at("notes@v1") });
+    world.wait_for_generation(generation);
     for at in 0..3 {
         let refused = world
             .caller(at, "studio")
@@ -225,7 +225,7 @@
 fn a_roll_out_is_finished_by_another_box_when_its_driver_dies() {
     let mut world = three();
     let now_ms = epoch_ms();
-    world.change(
+    world.apply_intent(
         1,
         &Intent::Roll {
             workspace: "studio".into(),
@@ -237,7 +237,7 @@
             guard: Guard::default(),
         },
     );
-    let share = |world: &World, at: usize| {
+    let share = |world: &Cluster, at: usize| {
         let rollouts = world
             .operator(at)
             .status()
@@ -256,7 +256,7 @@
         .expect("it names its holder")
         .to_owned();
     let driver_at = (0..3)
-        .find(|at| world.up(*at).settings.box_name == driver)
+        .find(|at| world.running_box(*at).settings.box_name == driver)
         .expect("a box");
     world.kill_box(driver_at);
     let other = (driver_at + 1) % 3;
@@ -317,12 +317,12 @@
 #[test]
 fn upstreams_that_die_do_not_condemn_the_versions_they_had() {
     let engine = || quick_engine(&[("notes@v1", 0.9), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
-    let world = start(WorldSpec {
+    let world = start(ClusterSpec {
         engines: (0..6).map(|_| engine()).collect(),
         ..spec(&["hall-a", "hall-b", "hall-c"])
     });
     for engine in &world.engines[..2] {
-        engine.set_dead(true);
+        engine.set_down(true);
     }
     let codes: Vec<String> = (0..150)
         .map(|n| {
--- a/crates/ivyweird/tests/billing.rs
+++ b/crates/ivyweird/tests/billing.rs
@@ -4,22 +4,22 @@
 
 use common::{spec, start, three, wait_billed};
 use ivyweir_policy::billing::Segment;
-use ivyweir_standins::{PlatformFaults, World, WorldSpec, wait_until};
+use ivyweir_standins::{Cluster, ClusterSpec, PlatformFaults, wait_until};
 use serde_json::json;
 
-fn slow_flush() -> WorldSpec {
-    WorldSpec {
+fn slow_flush() -> ClusterSpec {
+    ClusterSpec {
         limits: Some(json!({ "flush_ms_per_box": 600_000 })),
         ..spec(&["hall-a", "hall-b", "hall-c"])
     }
 }
 
-fn chat(world: &World, at: usize, requests: usize) {
+fn chat(world: &Cluster, at: usize, requests: usize) {
     for n in 0..requests {
         let outcome = world
             .caller(at, "studio")
             .chat("notes", &format!("episode {n}"), 4);
-        assert!(outcome.whole, "{outcome:?}");
+        assert!(outcome.complete, "{outcome:?}");
     }
 }
 
@@ -28,12 +28,12 @@
     let mut world = start(slow_flush());
     chat(&world, 0, 20);
     world.kill_box(0);
-    world.platform.unlist_box("box-1");
+    world.platform.deregister_box("box-1");
     let flushed = world.platform.peek_all("bill/").len();
     assert_eq!(flushed, 0, "nothing was flushed before");
     // Its replica has the records, and writes them when it stops.
     for at in [1, 2] {
-        world.up(at).signal("TERM");
+        world.running_box(at).signal("TERM");
     }
     for at in [1, 2] {
         let mut process = world.boxes[at].take().expect("the box is up");
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_replica_writes_the_records_of_a_box_that_died() {
-    let mut world = start(WorldSpec {
+    let mut world = start(ClusterSpec {
         limits: Some(json!({ "flush_ms_per_box": 700 })),
         ..spec(&["hall-a", "hall-b", "hall-c"])
     });
@@ -65,7 +65,7 @@
 fn lost_answers_of_the_store_bill_nothing_twice() {
     let world = three();
     world.platform.set_faults(PlatformFaults {
-        lose_answer_every: 2,
+        lose_response_every: 2,
         ..PlatformFaults::default()
     });
     for at in 0..3 {
@@ -86,7 +86,7 @@
     }
     // One of them dies in the outage, one stops as planned and passes its records on.
     world.kill_box(0);
-    world.up(1).signal("TERM");
+    world.running_box(1).signal("TERM");
     let mut stopping = world.boxes[1].take().expect("the box is up");
     assert_eq!(
         stopping.wait_exit(std::time::Duration::from_secs(60)),
@@ -102,8 +102,8 @@
     for at in 0..3 {
         let caller = world
             .caller(at, "studio")
-            .with("Idempotency-Key", "notes-7");
-        assert!(caller.chat("notes", "episode 7", 4).whole);
+            .with_header("Idempotency-Key", "notes-7");
+        assert!(caller.chat("notes", "episode 7", 4).complete);
     }
     let records = || -> usize {
         let bodies = world.platform.peek_all("bill/");
--- a/crates/ivyweird/tests/common/mod.rs
+++ b/crates/ivyweird/tests/common/mod.rs
@@ -5,8 +5,8 @@
 
 use ivyweir_operator::Client;
 use ivyweir_policy::{Intent, VersionRef};
+use ivyweir_standins::cluster::{Cluster, ClusterSpec, quick_engine};
 use ivyweir_standins::wait_until;
-use ivyweir_standins::world::{World, WorldSpec, quick_engine};
 
 /// The daemon under test.
 pub const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
@@ -19,13 +19,13 @@
 ];
 
 /// A world of boxes in these halls before two engines, not yet started.
-pub fn spec(halls: &[&'static str]) -> WorldSpec {
+pub fn spec(halls: &[&'static str]) -> ClusterSpec {
     let engine = || quick_engine(&[("notes@v1", 0.9), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
-    WorldSpec::new(BINARY, halls, vec![engine(), engine()])
+    ClusterSpec::new(BINARY, halls, vec![engine(), engine()])
 }
 
 /// Starts a world and configures one workspace, `studio`.
-pub fn start(spec: WorldSpec) -> World {
+pub fn start(spec: ClusterSpec) -> Cluster {
     let world = spec.start().expect("the world starts");
     world.configure(&VERSIONS, &[("studio", 0.8, 1)]);
     set_current(&world, "notes@v1");
@@ -33,7 +33,7 @@
 }
 
 /// A world of three boxes in three halls.
-pub fn three() -> World {
+pub fn three() -> Cluster {
     start(spec(&["hall-a", "hall-b", "hall-c"]))
 }
 
@@ -43,9 +43,9 @@
 }
 
 /// Makes a version current and waits until that is in force.
-pub fn set_current(world: &World, version: &str) {
-    let generation = world.change(0, &Intent::SetCurrent { at: at(version) });
-    world.wait_in_force(generation);
+pub fn set_current(world: &Cluster, version: &str) {
+    let generation = world.apply_intent(0, &Intent::SetCurrent { at: at(version) });
+    world.wait_for_generation(generation);
 }
 
 /// An event of nobody, for changes that touch nothing else.
@@ -64,7 +64,7 @@
 }
 
 /// Waits until the bill shows so many requests, and checks that it shows no more then.
-pub fn wait_billed(world: &World, at: usize, requests: u64) {
+pub fn wait_billed(world: &Cluster, at: usize, requests: u64) {
     let operator = world.operator(at);
     wait_until(
         &format!("{requests} requests are billed, now {}", billed(&operator)),
--- a/crates/ivyweird/tests/common/soak.rs
+++ b/crates/ivyweird/tests/common/soak.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ivyweir_standins::Gateway;
+use ivyweir_standins::FaultProxy;
 use ivyweir_standins::edge::{BoxSpec, GatewayProcess, Town, any_port, eventually};
 
 use super::BINARY;
@@ -33,7 +33,7 @@
     /// Their store and, without work, its upstreams.
     pub town: Town,
     /// Their ways to the store.
-    pub store_paths: Vec<Gateway>,
+    pub store_paths: Vec<FaultProxy>,
     /// Where callers reach them.
     pub addrs: Addrs,
     /// When they were restarted or paused.
@@ -54,7 +54,7 @@
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).expect("the temporary folder can be written");
         let store_addr = town.store.addr().to_string();
-        let path = |_| Gateway::start(&store_addr).expect("a port");
+        let path = |_| FaultProxy::start(&store_addr).expect("a port");
         Self {
             store_paths: halls.iter().map(path).collect(),
             addrs: Arc::new(Mutex::new(vec![None; halls.len()])),
--- a/crates/ivyweird/tests/config.rs
+++ b/crates/ivyweird/tests/config.rs
@@ -7,7 +7,7 @@
 use ivyweir_policy::{Config, Intent};
 use ivyweir_standins::{Fault, PlatformFaults, wait_until};
 
-fn generations(world: &ivyweir_standins::World) -> Vec<u64> {
+fn generations(world: &ivyweir_standins::Cluster) -> Vec<u64> {
     let up = 0..world.boxes.len();
     up.map(|at| world.operator(at).status().map_or(0, |s| s.generation))
         .collect()
@@ -17,14 +17,14 @@
 fn a_change_is_in_force_everywhere_although_the_store_loses_answers() {
     let world = three();
     world.platform.set_faults(PlatformFaults {
-        lose_answer_every: 2,
+        lose_response_every: 2,
         delay_ms: 20,
         ..PlatformFaults::default()
     });
     let before = generations(&world)[0];
     for n in 0..6 {
-        let generation = world.change(n % 3, &event(&format!("e{n}")));
-        world.wait_in_force(generation);
+        let generation = world.apply_intent(n % 3, &event(&format!("e{n}")));
+        world.wait_for_generation(generation);
     }
     assert_eq!(
         generations(&world)[0],
@@ -85,22 +85,22 @@
 
 #[test]
 fn a_box_that_boots_without_the_store_takes_the_configuration_from_peers() {
-    let mut world = start(ivyweir_standins::WorldSpec {
-        platform_gateways: true,
+    let mut world = start(ivyweir_standins::ClusterSpec {
+        platform_proxies: true,
         ..spec(&["hall-a", "hall-b", "hall-c"])
     });
     world.kill_box(2);
-    let generation = world.change(0, &event("while-away"));
-    world.platform_gateways[2].set(Fault::Cut);
-    world.specs[2].settings.seed_peers = vec![world.up(0).settings.peer_addr.clone()];
+    let generation = world.apply_intent(0, &event("while-away"));
+    world.platform_proxies[2].set(Fault::Cut);
+    world.specs[2].settings.seed_peers = vec![world.running_box(0).settings.peer_addr.clone()];
     world.start_box(2).expect("the box starts");
     let operator = world.operator(2);
     wait_until("the box has the configuration", || {
         operator.status().is_ok_and(|s| s.generation == generation)
     });
-    wait_until("it serves", || world.up(2).is_ready());
+    wait_until("it serves", || world.running_box(2).is_ready());
     wait_until("it finds an engine", || {
-        world.caller(2, "studio").chat("notes", "hello", 4).whole
+        world.caller(2, "studio").chat("notes", "hello", 4).complete
     });
 }
 
@@ -108,8 +108,8 @@
 fn a_store_that_is_set_back_does_not_set_boxes_back() {
     let world = three();
     let old = world.platform.peek("config").expect("there is one");
-    let generation = world.change(0, &Intent::Withdraw { at: at("notes@v2") });
-    world.wait_in_force(generation);
+    let generation = world.apply_intent(0, &Intent::Withdraw { at: at("notes@v2") });
+    world.wait_for_generation(generation);
     world.platform.restore("config", old);
     wait_until("the store is repaired", || {
         let body = world.platform.peek("config").expect("there is one");
@@ -121,15 +121,15 @@
         (refused.code.as_str(), refused.run.as_str()),
         ("version_withdrawn", "not_run")
     );
-    let next = world.change(2, &event("after"));
+    let next = world.apply_intent(2, &event("after"));
     assert_eq!(next, generation + 1);
 }
 
 #[test]
 fn a_box_cut_off_refuses_and_in_a_store_outage_all_serve_on() {
-    let world = start(ivyweir_standins::WorldSpec {
-        platform_gateways: true,
-        peer_gateways: true,
+    let world = start(ivyweir_standins::ClusterSpec {
+        platform_proxies: true,
+        peer_proxies: true,
         ..spec(&["hall-a", "hall-b", "hall-c"])
     });
     let chat = |at: usize| world.caller(at, "studio").chat("notes", "hello", 4);
@@ -147,7 +147,7 @@
         })
     });
     for at in 0..3 {
-        assert!(chat(at).whole, "served in the outage");
+        assert!(chat(at).complete, "served in the outage");
     }
     world.platform.set_faults(PlatformFaults::default());
     wait_until("all see the store again", || {
@@ -159,17 +159,17 @@
         })
     });
     // One box loses the store, and nobody hears anybody.
-    world.platform_gateways[2].set(Fault::Cut);
-    for gateway in &world.peer_gateways {
+    world.platform_proxies[2].set(Fault::Cut);
+    for gateway in &world.peer_proxies {
         gateway.set(Fault::Cut);
     }
-    wait_until("the box cut off stops", || !world.up(2).is_ready());
+    wait_until("the box cut off stops", || !world.running_box(2).is_ready());
     let refused = chat(2);
     assert_eq!(
         (refused.code.as_str(), refused.run.as_str()),
         ("stale_config", "not_run")
     );
-    assert!(chat(0).whole, "a box that sees the store serves on");
+    assert!(chat(0).complete, "a box that sees the store serves on");
     let change = world
         .operator(0)
         .plan(&event("alone"))
@@ -179,9 +179,9 @@
         .confirm(&change)
         .expect_err("it hears no majority");
     assert_eq!(alone.status(), Some(503));
-    world.platform_gateways[2].set(Fault::None);
-    for gateway in &world.peer_gateways {
+    world.platform_proxies[2].set(Fault::None);
+    for gateway in &world.peer_proxies {
         gateway.set(Fault::None);
     }
-    wait_until("it serves again", || chat(2).whole);
+    wait_until("it serves again", || chat(2).complete);
 }
--- a/crates/ivyweird/tests/gateway_drains.rs
+++ b/crates/ivyweird/tests/gateway_drains.rs
@@ -9,7 +9,7 @@
 use ivyweir_standins::edge::{
     Act, KEY, Reply, ScriptedUpstream, StoreFault, Town, eventually, get, post_stream, site,
 };
-use ivyweir_standins::{Fault, Gateway};
+use ivyweir_standins::{Fault, FaultProxy};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
 const HALLS: [&str; 2] = ["hall-a", "hall-b"];
@@ -158,7 +158,7 @@
 fn a_box_that_was_cut_off_and_is_back_keeps_out_of_a_hall_drained_meanwhile() {
     let mut town = two_halls();
     let store_addr = town.store.addr().to_string();
-    let path = Gateway::start(&store_addr).expect("a port");
+    let path = FaultProxy::start(&store_addr).expect("a port");
     town.add_box_behind("hall-a", &path.addr());
     path.set(Fault::HalfOpen);
     eventually("the box has lost its proof", || !town.is_ready(0));
--- a/crates/ivyweird/tests/gateway_soak/main.rs
+++ b/crates/ivyweird/tests/gateway_soak/main.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_standins::edge::{Act, KEY, ScriptedUpstream, StoreFault, eventually, get, site};
-use ivyweir_standins::{Fault, Gateway};
+use ivyweir_standins::{Fault, FaultProxy};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -55,7 +55,7 @@
 /// An upstream behind its proxy.
 struct Proxied {
     upstream: ScriptedUpstream,
-    proxy: Gateway,
+    proxy: FaultProxy,
     left_at: Option<Instant>,
     /// Spans in which its proxy did something to connections; the last may go on.
     faulty: Vec<(Instant, Option<Instant>)>,
@@ -140,7 +140,7 @@
             upstream.set(well_stream());
         }
         let record = upstream.record();
-        let proxy = Gateway::start_alone(&record.addr.to_string()).expect("a port");
+        let proxy = FaultProxy::start_on_unique_ip(&record.addr.to_string()).expect("a port");
         let mut record = record;
         record.addr = proxy.addr().parse().expect("an address");
         self.boxes.town.store.put_upstream(&record);
--- a/crates/ivyweird/tests/gateway_store.rs
+++ b/crates/ivyweird/tests/gateway_store.rs
@@ -7,7 +7,7 @@
 use ivyweir_standins::edge::{
     Act, GatewayProcess, KEY, ScriptedUpstream, StoreFault, Town, eventually, get, site,
 };
-use ivyweir_standins::{Fault, Gateway};
+use ivyweir_standins::{Fault, FaultProxy};
 use serde_json::json;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
@@ -249,8 +249,8 @@
 fn each_loses_the_store_in_turn(halls: &[&str]) {
     let mut town = Town::start(Path::new(BINARY));
     let store_addr = town.store.addr().to_string();
-    let path = |_: &&str| Gateway::start(&store_addr).expect("a port");
-    let paths: Vec<Gateway> = halls.iter().map(path).collect();
+    let path = |_: &&str| FaultProxy::start(&store_addr).expect("a port");
+    let paths: Vec<FaultProxy> = halls.iter().map(path).collect();
     for (hall, path) in halls.iter().zip(&paths) {
         town.add_box_behind(hall, &path.addr());
     }
@@ -319,7 +319,7 @@
 fn a_box_that_starts_beside_one_that_lost_the_store_gives_no_work_to_upstreams_that_left() {
     let mut town = Town::start(Path::new(BINARY));
     let store_addr = town.store.addr().to_string();
-    let path = Gateway::start(&store_addr).expect("a port");
+    let path = FaultProxy::start(&store_addr).expect("a port");
     town.add_box_behind("hall-a", &path.addr());
     path.set(Fault::HalfOpen);
     eventually("the box has lost its proof", || !town.is_ready(0));
--- a/crates/ivyweird/tests/once.rs
+++ b/crates/ivyweird/tests/once.rs
@@ -7,17 +7,17 @@
 use attohttpc::Method;
 use common::{spec, start, three};
 use ivyweir_policy::{BoxEntry, BoxKind, BoxState};
-use ivyweir_standins::world::SERVICES;
+use ivyweir_standins::cluster::SERVICES;
 use ivyweir_standins::{
-    Caller, Fault, Gateway, Outcome, PlatformFaults, World, WorldSpec, wait_until,
+    Caller, Cluster, ClusterSpec, Fault, FaultProxy, Outcome, PlatformFaults, wait_until,
 };
 
 fn activate(caller: &Caller, key: &str) -> Outcome {
     let path = format!("/services/{SERVICES}/sims/{key}");
-    caller.once(key).service(Method::POST, &path, "{}")
+    caller.at_most_once(key).service(Method::POST, &path, "{}")
 }
 
-fn runs(world: &World, key: &str) -> usize {
+fn runs(world: &Cluster, key: &str) -> usize {
     let runs = world.services.iter().flat_map(|s| s.runs());
     runs.filter(|r| r.key == key).count()
 }
@@ -60,11 +60,11 @@
 #[test]
 fn a_lost_answer_is_unknown_and_is_not_tried_again() {
     let world = three();
-    world.services[0].set_lose_answers(true);
+    world.services[0].set_lose_responses(true);
     let lost = activate(&world.caller(0, "studio"), "sim-lost");
     // The service's own 502 is passed on: it is the service's answer.
     assert_eq!(lost.status, 502);
-    world.services[0].set_lose_answers(false);
+    world.services[0].set_lose_responses(false);
     for at in 0..3 {
         activate(&world.caller(at, "studio"), "sim-lost");
     }
@@ -74,8 +74,8 @@
 #[test]
 fn a_connection_that_breaks_after_the_call_left_is_not_tried_again() {
     let world = three();
-    let broken = Gateway::start(&world.services[0].addr()).expect("a port is free");
-    world.platform.list_box(BoxEntry {
+    let broken = FaultProxy::start(&world.services[0].addr()).expect("a port is free");
+    world.platform.register_box(BoxEntry {
         name: "service-0".into(),
         kind: BoxKind::Upstream,
         addr: broken.addr().as_str().into(),
@@ -129,21 +129,21 @@
 
 #[test]
 fn a_store_that_hangs_does_not_hold_up_a_session_until_its_deadline() {
-    let world = start(WorldSpec {
-        platform_gateways: true,
+    let world = start(ClusterSpec {
+        platform_proxies: true,
         ..spec(&["hall-a", "hall-b", "hall-c"])
     });
     let token = world
         .caller(0, "studio")
         .open_session()
         .expect("a session opens");
-    for gateway in &world.platform_gateways {
+    for gateway in &world.platform_proxies {
         gateway.set(Fault::HalfOpen);
     }
     for n in 0..6 {
         let caller = world.caller(n % 3, "studio").in_session(&token);
         let served = activate(
-            &caller.with("X-Ivyweir-Deadline-Ms", "10000"),
+            &caller.with_header("X-Ivyweir-Deadline-Ms", "10000"),
             &format!("sim-{n}"),
         );
         assert_eq!(served.status, 200, "{served:?}");
@@ -155,7 +155,7 @@
 fn lost_claim_answers_neither_block_nor_double() {
     let world = three();
     world.platform.set_faults(PlatformFaults {
-        lose_answer_every: 1,
+        lose_response_every: 1,
         ..PlatformFaults::default()
     });
     for n in 0..6 {
@@ -210,7 +210,7 @@
         activate(&world.caller(0, "studio").in_session(&token), "sim-1").status,
         200
     );
-    world.up(0).signal("TERM");
+    world.running_box(0).signal("TERM");
     let mut stopping = world.boxes[0].take().expect("the box is up");
     assert_eq!(
         stopping.wait_exit(std::time::Duration::from_secs(60)),
@@ -237,7 +237,7 @@
     thread::scope(|scope| {
         let first = scope.spawn(|| activate(&slow, "sim-1"));
         wait_until("it has reached the service", || runs(&world, "sim-1") == 1);
-        world.up(0).signal("STOP");
+        world.running_box(0).signal("STOP");
         let others: Vec<Outcome> = [1, 2]
             .map(|at| activate(&world.caller(at, "studio"), "sim-1"))
             .into();
@@ -249,7 +249,7 @@
                 .iter()
                 .any(|b| b.name.as_ref() == "box-1" && b.health == "dead")
         });
-        world.up(0).signal("CONT");
+        world.running_box(0).signal("CONT");
         let first = first.join().expect("no caller panics");
         assert_eq!(first.status, 200, "{first:?}");
     });
--- a/crates/ivyweird/tests/path.rs
+++ b/crates/ivyweird/tests/path.rs
@@ -1,14 +1,14 @@
 //! The whole path: callers, boxes, engines, services and the bill.
 
 use attohttpc::Method;
-use ivyweir_standins::world::{SERVICES, World, WorldSpec, quick_engine, workspace_key};
+use ivyweir_standins::cluster::{Cluster, ClusterSpec, SERVICES, quick_engine, workspace_key};
 use ivyweir_standins::{Caller, wait_until};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
 
-fn world(halls: &[&'static str]) -> World {
+fn world(halls: &[&'static str]) -> Cluster {
     let engine = || quick_engine(&[("notes@v1", 0.8), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
-    let world = WorldSpec::new(BINARY, halls, vec![engine(), engine()])
+    let world = ClusterSpec::new(BINARY, halls, vec![engine(), engine()])
         .start()
         .expect("the world starts");
     let versions = [
@@ -17,7 +17,7 @@
         ("tags@v1", 500, 0.5),
     ];
     world.configure(&versions, &[("studio", 0.8, 1)]);
-    world.change(
+    world.apply_intent(
         0,
         &ivyweir_policy::Intent::SetCurrent {
             at: "notes@v1".parse().expect("a version"),
@@ -32,14 +32,14 @@
     let caller = world.caller(0, "studio");
 
     let whole = caller.chat("notes", "write notes for episode one", 12);
-    assert_eq!((whole.status, whole.whole), (200, true), "{whole:?}");
+    assert_eq!((whole.status, whole.complete), (200, true), "{whole:?}");
     assert_eq!(whole.version, "notes@v1");
     assert_eq!(whole.text.split(' ').count(), 12);
 
     let streamed = world
         .caller(1, "studio")
         .stream("notes@v2", "write notes", 20);
-    assert!(streamed.whole, "{streamed:?}");
+    assert!(streamed.complete, "{streamed:?}");
     assert_eq!(streamed.tokens, 20);
 
     let token = caller.open_session().expect("a session opens");
@@ -51,7 +51,7 @@
 
     let path = format!("/services/{SERVICES}/sims/5?plan=a%20b");
     let served = caller
-        .once("sim-5")
+        .at_most_once("sim-5")
         .service(Method::POST, &path, "{\"sim\":5}");
     assert_eq!(served.body["line"], "POST /sims/5?plan=a%20b");
     assert_eq!(served.body["body"], "{\"sim\":5}");
@@ -70,7 +70,10 @@
 fn refuses_what_is_not_allowed_before_anything_is_sent() {
     let world = world(&["hall-a"]);
     let caller = world.caller(0, "studio");
-    let stranger = Caller::new(&world.up(0).caller_url(), &workspace_key("stranger"));
+    let stranger = Caller::new(
+        &world.running_box(0).caller_url(),
+        &workspace_key("stranger"),
+    );
 
     let code = |outcome: ivyweir_standins::Outcome| (outcome.status, outcome.code, outcome.run);
     let refusal = |status, code: &str| (status, code.to_owned(), "not_run".to_owned());
@@ -91,7 +94,7 @@
         code(forged.chat("notes", "x", 4)),
         refusal(401, "session_invalid")
     );
-    let keyless = caller.with("X-Ivyweir-Repeatable", "no");
+    let keyless = caller.with_header("X-Ivyweir-Repeatable", "no");
     assert_eq!(
         code(keyless.chat("notes", "x", 4)),
         refusal(400, "key_required")
--- a/crates/ivyweird/tests/random.rs
+++ b/crates/ivyweird/tests/random.rs
@@ -15,9 +15,9 @@
 use common::{at, event, spec, start};
 use ivyweir_operator::ConfirmReply;
 use ivyweir_policy::{Guard, Intent};
-use ivyweir_standins::world::{SERVICES, epoch_ms};
+use ivyweir_standins::cluster::{SERVICES, epoch_ms};
 use ivyweir_standins::{
-    Behaviour, Caller, Fault, PlatformFaults, World, WorldSpec, text, wait_until,
+    Behaviour, Caller, Cluster, ClusterSpec, Fault, PlatformFaults, text, wait_until,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -52,8 +52,8 @@
 struct Entrances(Mutex<Vec<String>>);
 
 impl Entrances {
-    fn of(world: &World) -> Self {
-        let urls = (0..BOXES).map(|at| world.up(at).caller_url());
+    fn of(world: &Cluster) -> Self {
+        let urls = (0..BOXES).map(|at| world.running_box(at).caller_url());
         Self(Mutex::new(urls.collect()))
     }
 
@@ -65,7 +65,7 @@
         let urls = self.0.lock().expect("no panic with the lock");
         let url = urls[at].clone();
         (!url.is_empty())
-            .then(|| Caller::new(&url, &ivyweir_standins::world::workspace_key("studio")))
+            .then(|| Caller::new(&url, &ivyweir_standins::cluster::workspace_key("studio")))
     }
 }
 
@@ -92,13 +92,13 @@
             4..=5 => in_session(&caller, told, session.as_deref(), n),
             draw => {
                 let key = format!("c-{seed}-{n}");
-                let keyed = caller.with("Idempotency-Key", &key);
+                let keyed = caller.with_header("Idempotency-Key", &key);
                 let outcome = if draw % 2 == 0 {
                     keyed.chat("notes", &key, 8)
                 } else {
                     keyed.stream("notes", &key, 8)
                 };
-                if outcome.whole {
+                if outcome.complete {
                     assert_eq!(outcome.text.split(' ').count(), 8, "{outcome:?}");
                     let own = text::quality(&key, &outcome.text).is_some();
                     assert!(own, "an answer to another request: {outcome:?}");
@@ -124,7 +124,7 @@
     session: Option<&str>,
 ) {
     let path = format!("/services/{SERVICES}/sims/{key}");
-    let mut caller = caller.once(key);
+    let mut caller = caller.at_most_once(key);
     for _ in 0..rng.random_range(1..4) {
         let with_session = session.map_or(caller.clone(), |token| caller.in_session(token));
         let outcome = with_session.service(Method::POST, &path, "{}");
@@ -142,7 +142,7 @@
             }
         }
         if let Some(other) = entrances.caller(rng.random_range(0..BOXES)) {
-            caller = other.once(key);
+            caller = other.at_most_once(key);
         }
     }
 }
@@ -152,7 +152,7 @@
         return;
     };
     let outcome = caller.in_session(token).chat("notes", &format!("s-{n}"), 4);
-    if outcome.whole {
+    if outcome.complete {
         let mut sessions = told.sessions.lock().expect("no panic with the lock");
         let first = sessions
             .entry(token.to_owned())
@@ -162,7 +162,7 @@
 }
 
 /// One fault, operator or restart.
-fn disturb(world: &mut World, entrances: &Entrances, rng: &mut SmallRng, step: usize) -> String {
+fn disturb(world: &mut Cluster, entrances: &Entrances, rng: &mut SmallRng, step: usize) -> String {
     let which = rng.random_range(0..BOXES);
     match rng.random_range(0..11) {
         0 => {
@@ -173,13 +173,13 @@
             format!("killed box {which}")
         }
         1 => {
-            world.up(which).signal("STOP");
+            world.running_box(which).signal("STOP");
             thread::sleep(Duration::from_millis(rng.random_range(100..3_500)));
-            world.up(which).signal("CONT");
+            world.running_box(which).signal("CONT");
             format!("paused box {which}")
         }
         2 => {
-            world.up(which).signal("TERM");
+            world.running_box(which).signal("TERM");
             let mut stopping = world.boxes[which].take().expect("the box is up");
             let code = stopping.wait_exit(Duration::from_secs(60));
             assert_eq!(code, Some(0), "a planned stop ends well");
@@ -196,9 +196,9 @@
             "store out".into()
         }
         4 => {
-            let lose_answer_every = rng.random_range(1..5);
+            let lose_response_every = rng.random_range(1..5);
             world.platform.set_faults(PlatformFaults {
-                lose_answer_every,
+                lose_response_every,
                 ..PlatformFaults::default()
             });
             "store loses answers".into()
@@ -217,9 +217,9 @@
                 Fault::LoseAnswers,
                 Fault::DelayMs(40),
             ][rng.random_range(0..4)];
-            world.platform_gateways[which].set(fault);
+            world.platform_proxies[which].set(fault);
             thread::sleep(Duration::from_millis(rng.random_range(200..4_500)));
-            world.platform_gateways[which].set(Fault::None);
+            world.platform_proxies[which].set(Fault::None);
             format!("box {which} and the store: {fault:?}")
         }
         7 => {
@@ -229,16 +229,16 @@
                 Fault::LoseAnswers,
                 Fault::TruncateAfter(300),
             ][rng.random_range(0..4)];
-            world.peer_gateways[which].set(fault);
+            world.peer_proxies[which].set(fault);
             thread::sleep(Duration::from_millis(rng.random_range(200..3_000)));
-            world.peer_gateways[which].set(Fault::None);
+            world.peer_proxies[which].set(Fault::None);
             format!("peers and box {which}: {fault:?}")
         }
         8 => {
             let engine = &world.engines[rng.random_range(0..world.engines.len())];
-            engine.set_dead(true);
+            engine.set_down(true);
             thread::sleep(Duration::from_millis(rng.random_range(50..500)));
-            engine.set_dead(false);
+            engine.set_down(false);
             "an engine died and came back".into()
         }
         9 => {
@@ -276,7 +276,7 @@
                 .and_then(|plan| operator.confirm(&plan));
             if let Ok(ConfirmReply::Applied { generation, .. }) = confirmed {
                 world.platform.set_faults(PlatformFaults::default());
-                world.wait_in_force(generation);
+                world.wait_for_generation(generation);
                 return format!("generation {generation} is in force");
             }
             "an intent that was not accepted".into()
@@ -284,9 +284,9 @@
     }
 }
 
-fn restart(world: &mut World, entrances: &Entrances, which: usize) {
+fn restart(world: &mut Cluster, entrances: &Entrances, which: usize) {
     world.start_box(which).expect("the box starts");
-    entrances.set(which, world.up(which).caller_url());
+    entrances.set(which, world.running_box(which).caller_url());
 }
 
 #[test]
@@ -294,9 +294,9 @@
     let seed = setting("IVYWEIR_SEED", DEFAULT_SEED);
     let steps = setting("IVYWEIR_STEPS", DEFAULT_STEPS);
     println!("IVYWEIR_SEED={seed} IVYWEIR_STEPS={steps}");
-    let mut world = start(WorldSpec {
-        platform_gateways: true,
-        peer_gateways: true,
+    let mut world = start(ClusterSpec {
+        platform_proxies: true,
+        peer_proxies: true,
         limits: Some(json!({ "session_key_ms": 10_000 })),
         ..spec(&["hall-a", "hall-b", "hall-c", "hall-d"])
     });
@@ -330,7 +330,7 @@
 }
 
 /// Holds what callers were told against what upstreams and the store recorded.
-fn compare(world: &World, told: &Told) {
+fn compare(world: &Cluster, told: &Told) {
     world.wait_ready();
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for run in world.services.iter().flat_map(|s| s.runs()) {
