--- a/crates/ivyweir-standins/src/engine.rs
+++ b/crates/ivyweir-standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: the chat completions API over a [`Scheduler`].
+//! A fake model engine that serves the chat completions API on top of a [`Scheduler`].
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,27 +12,27 @@
 use ivyweir_engine::{LoadReport, Order};
 use serde_json::{Value, json};
 
-use crate::scheduler::{CHARS_PER_TOKEN, Scheduler, Speed, Tick};
+use crate::scheduler::{BYTES_PER_TOKEN, Scheduler, Speed, TokenEvent};
 use crate::text::{self, Draft};
 
-const THREADS: usize = 512;
-const DEFAULT_TOKENS: usize = 24;
+const SERVER_THREADS: usize = 512;
+const DEFAULT_MAX_TOKENS: usize = 24;
 
-/// How a version behaves; faults are rates from 0 to 1.
+/// Quality and fault rates of a model version. Fault rates are probabilities from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Behaviour {
-    /// How hard a prompt it answers well, 0 to 1.
+    /// Prompt difficulty, 0 to 1, up to which the version tends to answer well.
     pub skill: f64,
-    /// Answers with status 500.
+    /// Rate of responses with status 500.
     pub fail: f64,
-    /// Answers that stop half way.
+    /// Rate of responses that are truncated off half way.
     pub truncate: f64,
-    /// Answers that carry another request's id.
+    /// Rate of responses that carry the id of another request.
     pub mismatch: f64,
 }
 
 impl Behaviour {
-    /// A faultless version of some skill.
+    /// Creates the behaviour of a version without faults.
     pub fn good(skill: f64) -> Self {
         Self {
             skill,
@@ -43,29 +43,29 @@
     }
 }
 
-/// What an engine is.
+/// Configuration of an [`Engine`].
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// How fast it is.
+    /// Timing and capacity.
     pub speed: Speed,
-    /// The versions it has loaded.
+    /// The loaded versions, by name.
     pub versions: BTreeMap<String, Behaviour>,
-    /// Age of the load it reports.
+    /// Age in milliseconds from which the reported load is refreshed.
     pub load_lag_ms: u64,
-    /// Whether it refuses orders of an older generation, and work for withdrawn versions.
+    /// Whether the engine rejects orders with an older fence and requests for withdrawn versions.
     pub checks_fence: bool,
 }
 
-/// One call that an engine took up.
+/// A request that an engine accepted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineRun {
-    /// The id that the call came with.
+    /// Value of the `X-Request-Id` header.
     pub request_id: String,
-    /// The version it ran on.
+    /// The version that processed the request.
     pub version: String,
-    /// The body's `user` field, by which tests tell requests apart.
+    /// The `user` field of the body, which tests use to identify requests.
     pub user: String,
-    /// When, since the engine started.
+    /// Time of acceptance, relative to the start of the engine.
     pub at: Duration,
 }
 
@@ -83,7 +83,7 @@
     orders: Mutex<Orders>,
     reported: Mutex<(Instant, LoadReport)>,
     started: Instant,
-    draws: AtomicU64,
+    draw_count: AtomicU64,
 }
 
 #[derive(Default)]
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// When no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start(options: EngineOptions) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             scheduler: Scheduler::start(options.speed),
@@ -106,48 +106,48 @@
             orders: Mutex::default(),
             reported: Mutex::new((Instant::now(), LoadReport::default())),
             started: Instant::now(),
-            draws: AtomicU64::new(0),
+            draw_count: AtomicU64::new(0),
             options,
         });
-        *lock(&shared.reported) = (Instant::now(), shared.load_now());
-        let front = Arc::new(Front {
+        *lock(&shared.reported) = (Instant::now(), shared.current_load());
+        let handler = Arc::new(EngineHandler {
             shared: shared.clone(),
         });
-        let server = Server::start("127.0.0.1:0", THREADS, front)?;
+        let server = Server::start("127.0.0.1:0", SERVER_THREADS, handler)?;
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the socket address that the engine listens on.
     pub fn addr(&self) -> String {
         self.server.addr().to_string()
     }
 
-    /// Changes how a version behaves from now on, or loads it.
+    /// Sets the behaviour of a version, loading the version if necessary.
     pub fn set_behaviour(&self, version: &str, behaviour: Behaviour) {
         lock(&self.shared.versions).insert(version.to_owned(), behaviour);
     }
 
-    /// Makes every step this much slower.
+    /// Multiplies the duration of every step by `factor`.
     pub fn set_slowdown(&self, factor: u64) {
         self.shared.scheduler.set_slowdown(factor);
     }
 
-    /// Breaks off all work and takes none, or takes some again.
-    pub fn set_down(&self, dead: bool) {
-        self.shared.scheduler.set_down(dead);
+    /// Aborts all sequences and rejects new ones while `down` is true.
+    pub fn set_down(&self, down: bool) {
+        self.shared.scheduler.set_down(down);
     }
 
-    /// All calls that it took up.
+    /// Returns all requests that the engine accepted.
     pub fn runs(&self) -> Vec<EngineRun> {
         lock(&self.shared.runs).clone()
     }
 
-    /// Time since its start, the clock of [`EngineRun::at`].
+    /// Returns the time since the engine started, on the same clock as [`EngineRun::at`].
     pub fn now(&self) -> Duration {
         self.shared.started.elapsed()
     }
 
-    /// Blocks found in the prefix cache, and blocks looked for.
+    /// Returns the number of hits and of lookups in the prefix cache, in blocks.
     pub fn prefix_cache_stats(&self) -> (u64, u64) {
         self.shared.scheduler.prefix_cache_stats()
     }
@@ -161,11 +161,11 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no call panics with the lock")
+    mutex.lock().expect("mutex is not poisoned")
 }
 
 impl Shared {
-    fn load_now(&self) -> LoadReport {
+    fn current_load(&self) -> LoadReport {
         let load = self.scheduler.load();
         LoadReport {
             running: load.running as u32,
@@ -175,20 +175,20 @@
         }
     }
 
-    /// The load as it was when the lag was last over.
-    fn load_reported(&self) -> LoadReport {
+    /// Returns the cached load report, refreshing it if it is older than `load_lag_ms`.
+    fn reported_load(&self) -> LoadReport {
         let lag = Duration::from_millis(self.options.load_lag_ms);
         let mut reported = lock(&self.reported);
         if reported.0.elapsed() >= lag {
-            *reported = (Instant::now(), self.load_now());
+            *reported = (Instant::now(), self.current_load());
         }
         reported.1.clone()
     }
 
-    fn take_order(&self, order: Order) -> Reply {
+    fn apply_order(&self, order: Order) -> Reply {
         let mut orders = lock(&self.orders);
         if self.options.checks_fence && order.fence < orders.fence {
-            return Reply::text(409, "older fence");
+            return Reply::text(409, "order has an older fence");
         }
         orders.fence = orders.fence.max(order.fence);
         orders.withdrawn.push(order.version);
@@ -200,47 +200,47 @@
         self.options.checks_fence && orders.withdrawn.iter().any(|v| v == version)
     }
 
-    fn draw(&self, what: &[u8]) -> f64 {
-        let draw = self.draws.fetch_add(1, Ordering::Relaxed);
-        text::unit(&[what, &draw.to_le_bytes()])
+    fn random_unit(&self, label: &[u8]) -> f64 {
+        let index = self.draw_count.fetch_add(1, Ordering::Relaxed);
+        text::unit_hash(&[label, &index.to_le_bytes()])
     }
 }
 
-/// A call that was taken up.
+/// An accepted request.
 struct Job {
     id: String,
     version: String,
     draft: Draft,
-    /// Words that the caller has already.
+    /// Number of leading words that the client already has.
     skip: usize,
-    /// Words to give before the call breaks off, if it does.
-    stop_after: usize,
+    /// Number of words to send; fewer than remain if the response is truncated.
+    word_limit: usize,
     prompt_tokens: usize,
-    ticks: Receiver<Tick>,
-    with_logprobs: bool,
-    is_cut: bool,
+    token_events: Receiver<TokenEvent>,
+    include_logprobs: bool,
+    is_truncated: bool,
 }
 
-struct Front {
+struct EngineHandler {
     shared: Arc<Shared>,
 }
 
-impl Handler for Front {
+impl Handler for EngineHandler {
     fn handle(&self, mut incoming: Incoming) {
         let path = incoming.path().to_owned();
         let reply = match (incoming.method(), path.as_str()) {
             ("POST", "/v1/chat/completions") => return self.complete(incoming),
             ("GET", "/load") => {
-                let body = serde_json::to_vec(&self.shared.load_reported());
-                Reply::json(200, body.expect("a report is always valid JSON"))
+                let body = serde_json::to_vec(&self.shared.reported_load());
+                Reply::json(200, body.expect("a load report serializes to JSON"))
             }
             ("POST", "/orders") => match read_json::<Order>(&mut incoming) {
-                Some(order) => self.shared.take_order(order),
-                None => Reply::text(400, "no order"),
+                Some(order) => self.shared.apply_order(order),
+                None => Reply::text(400, "body is not a valid order"),
             },
             _ => Reply::text(404, "no such path"),
         };
-        let _caller_gone = incoming.reply(reply);
+        let _disconnected = incoming.reply(reply);
     }
 }
 
@@ -249,7 +249,7 @@
     serde_json::from_slice(&body).ok()
 }
 
-impl Front {
+impl EngineHandler {
     fn complete(&self, mut incoming: Incoming) {
         let request = incoming
             .read_body()
@@ -257,19 +257,19 @@
         let request = match request {
             Ok(request) => request,
             Err(refusal) => {
-                let _caller_gone = incoming.reply(Reply::from(&refusal));
+                let _disconnected = incoming.reply(Reply::from(&refusal));
                 return;
             }
         };
         let request_id = incoming.header("X-Request-Id").unwrap_or("none").to_owned();
-        match self.take_up(&request, &request_id) {
+        match self.accept(&request, &request_id) {
             Err(reply) => drop(incoming.reply(reply)),
             Ok(job) if request.stream => stream(incoming, &job, request.wants_usage()),
-            Ok(job) => drop(incoming.reply(whole(&job))),
+            Ok(job) => drop(incoming.reply(complete_response(&job))),
         }
     }
 
-    fn take_up(&self, request: &ChatRequest, request_id: &str) -> Result<Job, Reply> {
+    fn accept(&self, request: &ChatRequest, request_id: &str) -> Result<Job, Reply> {
         let shared = &self.shared;
         let version = request.model.clone();
         let Some(behaviour) = lock(&shared.versions).get(&version).copied() else {
@@ -284,22 +284,24 @@
             user: text_field(request, "user"),
             at: shared.started.elapsed(),
         });
-        if shared.draw(b"fail") < behaviour.fail {
-            return Err(Reply::text(500, "engine failed"));
+        if shared.random_unit(b"fail") < behaviour.fail {
+            return Err(Reply::text(500, "injected engine failure"));
         }
         let (prompt, sent) = split_continuation(request);
-        let asked = request.max_tokens.map_or(DEFAULT_TOKENS, |n| n as usize);
+        let requested_tokens = request
+            .max_tokens
+            .map_or(DEFAULT_MAX_TOKENS, |n| n as usize);
         let skip = sent.split_inclusive(' ').count();
-        let tokens = (asked + skip).max(2);
-        let mismatched = shared.draw(b"mismatch") < behaviour.mismatch;
-        let answered = if mismatched {
+        let tokens = (requested_tokens + skip).max(2);
+        let mismatched = shared.random_unit(b"mismatch") < behaviour.mismatch;
+        let effective_prompt = if mismatched {
             "another prompt"
         } else {
             prompt.as_str()
         };
-        let draft = text::draft(answered, &version, behaviour.skill, tokens);
-        let left = draft.words.len().saturating_sub(skip).max(1);
-        let cut = shared.draw(b"truncate") < behaviour.truncate;
+        let draft = text::draft(effective_prompt, &version, behaviour.skill, tokens);
+        let words_left = draft.words.len().saturating_sub(skip).max(1);
+        let truncated = shared.random_unit(b"truncate") < behaviour.truncate;
         let priority = request
             .body
             .get("priority")
@@ -312,16 +314,21 @@
             ),
             version,
             skip,
-            stop_after: if cut { left / 2 } else { left },
-            prompt_tokens: prompt.len() / CHARS_PER_TOKEN,
-            // As in the published API, a lower value is served earlier.
-            ticks: shared.scheduler.submit(
+            word_limit: if truncated {
+                words_left / 2
+            } else {
+                words_left
+            },
+            prompt_tokens: prompt.len() / BYTES_PER_TOKEN,
+            // In the published API a lower `priority` value is served first; the scheduler serves
+            // higher values first.
+            token_events: shared.scheduler.submit(
                 &format!("{prompt}{sent}"),
-                left,
+                words_left,
                 (9 - priority.clamp(0, 9)) as u8,
             ),
-            with_logprobs: request.body.get("logprobs") == Some(&Value::Bool(true)),
-            is_cut: cut,
+            include_logprobs: request.body.get("logprobs") == Some(&Value::Bool(true)),
+            is_truncated: truncated,
             draft,
         })
     }
@@ -332,7 +339,7 @@
     field.unwrap_or_default().to_owned()
 }
 
-/// The prompt, and the start of the answer that the request wants continued.
+/// Splits a request into its prompt and the partial answer that it asks to have continued.
 fn split_continuation(request: &ChatRequest) -> (String, String) {
     let continues = request.body.get("continue_final_message") == Some(&Value::Bool(true));
     if !continues {
@@ -347,15 +354,15 @@
     (shorter.prompt(), sent.unwrap_or_default())
 }
 
-fn whole(job: &Job) -> Reply {
+fn complete_response(job: &Job) -> Reply {
     let mut content = String::new();
-    for word in job.draft.words.iter().skip(job.skip).take(job.stop_after) {
-        if job.ticks.recv() != Ok(Tick::Token) {
-            return Reply::text(500, "engine died");
+    for word in job.draft.words.iter().skip(job.skip).take(job.word_limit) {
+        if job.token_events.recv() != Ok(TokenEvent::Token) {
+            return Reply::text(500, "engine went down while generating");
         }
         content.push_str(word);
     }
-    let finish_reason = if job.is_cut {
+    let finish_reason = if job.is_truncated {
         Value::Null
     } else {
         json!("stop")
@@ -365,7 +372,7 @@
         "message": { "role": "assistant", "content": content },
         "finish_reason": finish_reason,
     });
-    if job.with_logprobs {
+    if job.include_logprobs {
         let logprob = job.draft.confidence.ln();
         choice["logprobs"] = json!({ "content": [{ "token": "r", "logprob": logprob }] });
     }
@@ -394,20 +401,20 @@
         return;
     };
     let sent = stream_words(&mut events, job);
-    if sent.is_err() || job.is_cut {
-        // Dropping the writer breaks the stream off without its end mark.
+    if sent.is_err() || job.is_truncated {
+        // Dropping the writer closes the stream without the `[DONE]` event.
         return;
     }
     let usage = if wants_usage { usage(job) } else { Value::Null };
     let last = chunk(job, json!({}), json!("stop"), &usage);
     if events.write_event(&last).is_ok() {
-        let _caller_gone = events.finish();
+        let _disconnected = events.finish();
     }
 }
 
 fn stream_words(events: &mut EventWriter, job: &Job) -> Result<(), ()> {
-    for word in job.draft.words.iter().skip(job.skip).take(job.stop_after) {
-        if job.ticks.recv() != Ok(Tick::Token) {
+    for word in job.draft.words.iter().skip(job.skip).take(job.word_limit) {
+        if job.token_events.recv() != Ok(TokenEvent::Token) {
             return Err(());
         }
         let event = chunk(job, json!({ "content": word }), Value::Null, &Value::Null);
@@ -428,11 +435,18 @@
     .to_string()
 }
 
-/// Waits until `condition` holds, for as long as a test may take; then says what was waited for.
+/// Polls `condition` until it holds.
+///
+/// # Panics
+///
+/// Panics with `what` if the condition does not hold within 60 s.
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(60);
     while !condition() {
-        assert!(Instant::now() < deadline, "still waiting: {what}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out after 60 s waiting for: {what}"
+        );
         thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/ivyweir-standins/src/lib.rs
+++ b/crates/ivyweir-standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins of the systems around ivyweir, for tests, the demo and the load tool.
+//! Fakes of the systems that ivyweir depends on, for tests, the demo and the load tool.
 //!
-//! They speak the published forms that the real ones would and keep records of what reached them,
-//! so that a test can hold the records against what callers were told. None of them keeps a promise
-//! on ivyweir's behalf.
+//! The fakes implement the same published interfaces as the real systems and record every call they
+//! receive, so that a test can compare these records with the responses that callers received. None
+//! of them implements a guarantee that ivyweir itself has to provide.
 //!
 //! ```
 //! use ivyweir_standins::{Platform, PlatformOptions};
--- a/crates/ivyweir-standins/src/loopback.rs
+++ b/crates/ivyweir-standins/src/loopback.rs
@@ -1,22 +1,26 @@
-//! Addresses of loopback.
+//! Loopback addresses for test servers.
 
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Addresses of one process behind its first; a process number has 22 bits at the most.
-const PARTS: u64 = 250;
+/// Number of values used per address byte. Two bytes encode the process id modulo 62 500; a process id
+/// has up to 22 bits, so two processes can share them. A process has this many addresses and then
+/// starts again with the first.
+const BYTE_VALUES: u64 = 250;
 
-/// An address that few others have: what listens there is not found by callers of a process that ended and whose port was
-/// given away again.
+/// Returns a loopback address that other processes are unlikely to use.
+///
+/// A server on a shared address can be assigned the port of a process that has exited, and then
+/// receives requests from clients that still call that process.
 pub(crate) fn unique_ip() -> Ipv4Addr {
-    static GIVEN: AtomicU64 = AtomicU64::new(0);
-    let number = GIVEN.fetch_add(1, Ordering::Relaxed);
+    static NEXT_ADDRESS: AtomicU64 = AtomicU64::new(0);
+    let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     let process = u64::from(std::process::id());
-    let part = |of: u64| (of % PARTS) as u8;
+    let byte = |value: u64| (value % BYTE_VALUES) as u8;
     Ipv4Addr::new(
         127,
-        1 + part(process / PARTS),
-        part(process),
-        1 + part(number),
+        1 + byte(process / BYTE_VALUES),
+        byte(process),
+        1 + byte(number),
     )
 }
--- a/crates/ivyweir-standins/src/rating.rs
+++ b/crates/ivyweir-standins/src/rating.rs
@@ -1,4 +1,4 @@
-//! The service that rates answers.
+//! A fake rating service.
 
 use std::io;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::engine::read_json;
 use crate::text;
 
-const THREADS: usize = 32;
+const SERVER_THREADS: usize = 32;
 
 /// A running rating service.
 pub struct Rating {
@@ -26,7 +26,7 @@
 }
 
 #[derive(Deserialize)]
-struct Ask {
+struct RatingRequest {
     prompt: String,
     answer: String,
 }
@@ -36,47 +36,49 @@
     ///
     /// # Errors
     ///
-    /// When no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start() -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
-        let front = Arc::new(Front {
+        let handler = Arc::new(RatingHandler {
             shared: shared.clone(),
         });
-        let server = Server::start("127.0.0.1:0", THREADS, front)?;
+        let server = Server::start("127.0.0.1:0", SERVER_THREADS, handler)?;
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the base URL of the service.
     pub fn base_url(&self) -> String {
         format!("http://{}", self.server.addr())
     }
 
-    /// Makes every call fail, or work again.
+    /// Makes every request fail with status 503 while `down` is true.
     pub fn set_down(&self, down: bool) {
         self.shared.down.store(down, Ordering::Relaxed);
     }
 
-    /// How often it was called.
+    /// Returns the number of requests received, including failed ones.
     pub fn calls(&self) -> u64 {
         self.shared.calls.load(Ordering::Relaxed)
     }
 }
 
-struct Front {
+struct RatingHandler {
     shared: Arc<Shared>,
 }
 
-impl Handler for Front {
+impl Handler for RatingHandler {
     fn handle(&self, mut incoming: Incoming) {
         self.shared.calls.fetch_add(1, Ordering::Relaxed);
-        let reply = match read_json::<Ask>(&mut incoming) {
-            _ if self.shared.down.load(Ordering::Relaxed) => Reply::text(503, "out"),
-            None => Reply::text(400, "no answer to rate"),
-            Some(ask) => {
-                let score = text::quality(&ask.prompt, &ask.answer).unwrap_or(0.0);
+        let reply = match read_json::<RatingRequest>(&mut incoming) {
+            _ if self.shared.down.load(Ordering::Relaxed) => {
+                Reply::text(503, "rating service is down")
+            }
+            None => Reply::text(400, "body is not a valid rating request"),
+            Some(request) => {
+                let score = text::quality(&request.prompt, &request.answer).unwrap_or(0.0);
                 Reply::json(200, json!({ "score": score }).to_string().into_bytes())
             }
         };
-        let _caller_gone = incoming.reply(reply);
+        let _disconnected = incoming.reply(reply);
     }
 }
--- a/crates/ivyweir-standins/src/scheduler.rs
+++ b/crates/ivyweir-standins/src/scheduler.rs
@@ -1,4 +1,5 @@
-//! Continuous batching: one step gives each running sequence a token; its time grows with the batch.
+//! Continuous batching: each step generates one token per running sequence, and the step time grows
+//! with the batch size.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -8,39 +9,39 @@
 use crossbeam::channel::{Receiver, Sender, unbounded};
 use ivyweir_policy::hash::hash64;
 
-/// Characters per block of the prefix cache.
-const BLOCK_CHARS: usize = 64;
-/// Characters per token of a prompt.
-pub const CHARS_PER_TOKEN: usize = 4;
+/// Size of a prefix cache block, in bytes of the prompt.
+const BLOCK_BYTES: usize = 64;
+/// Number of prompt bytes that count as one token.
+pub const BYTES_PER_TOKEN: usize = 4;
 
-/// How fast an engine is.
+/// Timing and capacity of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Speed {
-    /// Sequences that run at once.
+    /// Maximum number of sequences in a batch.
     pub slots: usize,
-    /// Time of a step with one sequence.
+    /// Duration of a step with one sequence, in microseconds.
     pub step_us: u64,
-    /// Additional time per further sequence.
+    /// Additional step duration per further sequence, in microseconds.
     pub per_sequence_us: u64,
-    /// Time to read one prompt token that is not cached.
+    /// Time to process one uncached prompt token, in microseconds.
     pub prefill_us_per_token: u64,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
 }
 
-/// What a sequence's reader receives.
+/// An event that the receiver of a sequence gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tick {
-    /// One more token.
+pub enum TokenEvent {
+    /// One token was generated.
     Token,
-    /// The engine was stopped.
-    Died,
+    /// The engine went down before the sequence was complete.
+    EngineDown,
 }
 
 struct Sequence {
     prefill_us: u64,
-    left: usize,
-    ticks: Sender<Tick>,
+    tokens_left: usize,
+    events: Sender<TokenEvent>,
 }
 
 #[derive(Default)]
@@ -50,30 +51,30 @@
     cache: HashMap<u64, u64>,
     cache_clock: u64,
     cache_hits: u64,
-    cache_looks: u64,
+    cache_lookups: u64,
     stopped: bool,
-    dead: bool,
+    down: bool,
     slow_factor: u64,
 }
 
-/// The batch of one engine.
+/// The batch scheduler of one engine.
 pub struct Scheduler {
     speed: Speed,
     state: Mutex<State>,
-    work: Condvar,
+    work_available: Condvar,
 }
 
-/// Sequences running and waiting.
+/// Number of sequences in the batch and in the queue.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Running.
+    /// Sequences in the batch.
     pub running: usize,
-    /// Waiting.
+    /// Sequences in the queue.
     pub waiting: usize,
 }
 
 impl Scheduler {
-    /// Starts the batch's thread.
+    /// Starts the scheduler thread.
     pub fn start(speed: Speed) -> Arc<Self> {
         let scheduler = Arc::new(Self {
             speed,
@@ -81,38 +82,40 @@
                 slow_factor: 1,
                 ..State::default()
             }),
-            work: Condvar::new(),
+            work_available: Condvar::new(),
         });
-        let runner = scheduler.clone();
+        let worker = scheduler.clone();
         thread::Builder::new()
             .name("engine-batch".into())
             .stack_size(128 << 10)
-            .spawn(move || runner.run())
-            .expect("threads can be made");
+            .spawn(move || worker.run())
+            .expect("failed to spawn the scheduler thread");
         scheduler
     }
 
-    /// Queues a sequence of `tokens` behind those of the same or a higher priority.
-    pub fn submit(&self, prompt: &str, tokens: usize, priority: u8) -> Receiver<Tick> {
-        let (ticks, reader) = unbounded();
+    /// Queues a sequence of `tokens` tokens after all sequences of the same or a higher priority.
+    ///
+    /// If the engine is down, the returned receiver is already disconnected.
+    pub fn submit(&self, prompt: &str, tokens: usize, priority: u8) -> Receiver<TokenEvent> {
+        let (events, receiver) = unbounded();
         let mut state = self.lock();
-        if state.dead {
-            return reader;
+        if state.down {
+            return receiver;
         }
-        let uncached = state.read_prompt(prompt, self.speed.cache_blocks);
+        let uncached = state.cache_prompt(prompt, self.speed.cache_blocks);
         let sequence = Sequence {
             prefill_us: uncached as u64 * self.speed.prefill_us_per_token,
-            left: tokens,
-            ticks,
+            tokens_left: tokens,
+            events,
         };
-        let at = state.waiting.iter().position(|(p, _)| *p < priority);
-        let at = at.unwrap_or(state.waiting.len());
-        state.waiting.insert(at, (priority, sequence));
-        self.work.notify_one();
-        reader
+        let position = state.waiting.iter().position(|(p, _)| *p < priority);
+        let position = position.unwrap_or(state.waiting.len());
+        state.waiting.insert(position, (priority, sequence));
+        self.work_available.notify_one();
+        receiver
     }
 
-    /// The load now.
+    /// Returns the current load.
     pub fn load(&self) -> Load {
         let state = self.lock();
         Load {
@@ -121,62 +124,65 @@
         }
     }
 
-    /// Blocks found in the prefix cache, and blocks looked for.
+    /// Returns the number of hits and of lookups in the prefix cache, in blocks.
     pub fn prefix_cache_stats(&self) -> (u64, u64) {
         let state = self.lock();
-        (state.cache_hits, state.cache_looks)
+        (state.cache_hits, state.cache_lookups)
     }
 
-    /// Makes every step this much slower.
+    /// Multiplies the duration of every step by `factor`.
     pub fn set_slowdown(&self, factor: u64) {
         self.lock().slow_factor = factor.max(1);
     }
 
-    /// Drops all sequences and takes no more, or takes some again.
-    pub fn set_down(&self, dead: bool) {
+    /// Aborts all sequences and rejects new ones while `down` is true.
+    pub fn set_down(&self, down: bool) {
         let mut state = self.lock();
-        state.dead = dead;
-        if dead {
+        state.down = down;
+        if down {
             for sequence in state.running.drain(..) {
-                let _reader_gone = sequence.ticks.send(Tick::Died);
+                let _receiver_dropped = sequence.events.send(TokenEvent::EngineDown);
             }
             for (_, sequence) in state.waiting.drain(..) {
-                let _reader_gone = sequence.ticks.send(Tick::Died);
+                let _receiver_dropped = sequence.events.send(TokenEvent::EngineDown);
             }
         }
     }
 
-    /// Ends the thread.
+    /// Stops the scheduler thread.
     pub fn stop(&self) {
         self.lock().stopped = true;
-        self.work.notify_one();
+        self.work_available.notify_one();
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no call panics with the lock")
+        self.state.lock().expect("mutex is not poisoned")
     }
 
     fn run(&self) {
-        let mut next = Instant::now();
+        let mut next_step_at = Instant::now();
         loop {
             let step = {
                 let mut state = self.lock();
                 while !state.stopped && state.running.is_empty() && state.waiting.is_empty() {
-                    state = self.work.wait(state).expect("no call panics with the lock");
-                    next = Instant::now();
+                    state = self
+                        .work_available
+                        .wait(state)
+                        .expect("mutex is not poisoned");
+                    next_step_at = Instant::now();
                 }
                 if state.stopped {
                     return;
                 }
                 self.admit(&mut state)
             };
-            next += step;
-            thread::sleep(next.saturating_duration_since(Instant::now()));
-            self.lock().emit();
+            next_step_at += step;
+            thread::sleep(next_step_at.saturating_duration_since(Instant::now()));
+            self.lock().emit_tokens();
         }
     }
 
-    /// Fills the batch and tells how long the coming step takes.
+    /// Moves queued sequences into free slots and returns the duration of the next step.
     fn admit(&self, state: &mut State) -> Duration {
         let mut prefill_us = 0;
         while state.running.len() < self.speed.slots {
@@ -186,44 +192,48 @@
             prefill_us += sequence.prefill_us;
             state.running.push(sequence);
         }
-        let more = state.running.len().saturating_sub(1) as u64;
-        let step_us = self.speed.step_us + more * self.speed.per_sequence_us + prefill_us;
+        let additional_sequences = state.running.len().saturating_sub(1) as u64;
+        let step_us =
+            self.speed.step_us + additional_sequences * self.speed.per_sequence_us + prefill_us;
         Duration::from_micros(step_us * state.slow_factor)
     }
 }
 
 impl State {
-    /// Gives each running sequence its token; those whose reader is gone are cancelled.
-    fn emit(&mut self) {
+    /// Sends a token to each running sequence and removes sequences that are complete or whose
+    /// receiver was dropped.
+    fn emit_tokens(&mut self) {
         self.running.retain_mut(|sequence| {
-            sequence.left -= 1;
-            sequence.ticks.send(Tick::Token).is_ok() && sequence.left > 0
+            sequence.tokens_left -= 1;
+            sequence.events.send(TokenEvent::Token).is_ok() && sequence.tokens_left > 0
         });
     }
 
-    /// Counts the prompt's uncached tokens and caches its blocks, dropping those used longest ago.
-    fn read_prompt(&mut self, prompt: &str, capacity: usize) -> usize {
+    /// Adds the blocks of a prompt to the prefix cache and returns the number of uncached tokens.
+    ///
+    /// If the cache is over capacity, the least recently used blocks are evicted.
+    fn cache_prompt(&mut self, prompt: &str, capacity: usize) -> usize {
         let bytes = prompt.as_bytes();
-        let mut uncached_chars = bytes.len() % BLOCK_CHARS;
-        let mut all_hit = true;
-        for end in (BLOCK_CHARS..=bytes.len()).step_by(BLOCK_CHARS) {
+        let mut uncached_bytes = bytes.len() % BLOCK_BYTES;
+        let mut prefix_hit = true;
+        for end in (BLOCK_BYTES..=bytes.len()).step_by(BLOCK_BYTES) {
             self.cache_clock += 1;
-            self.cache_looks += 1;
+            self.cache_lookups += 1;
             let block = hash64(&[&bytes[..end]]);
-            all_hit &= self.cache.insert(block, self.cache_clock).is_some();
-            if all_hit {
+            prefix_hit &= self.cache.insert(block, self.cache_clock).is_some();
+            if prefix_hit {
                 self.cache_hits += 1;
             } else {
-                uncached_chars += BLOCK_CHARS;
+                uncached_bytes += BLOCK_BYTES;
             }
         }
         if self.cache.len() > capacity {
-            let mut uses: Vec<u64> = self.cache.values().copied().collect();
-            let surplus = self.cache.len() - capacity;
-            let (_, oldest_kept, _) = uses.select_nth_unstable(surplus);
+            let mut last_uses: Vec<u64> = self.cache.values().copied().collect();
+            let excess = self.cache.len() - capacity;
+            let (_, oldest_kept, _) = last_uses.select_nth_unstable(excess);
             let oldest_kept = *oldest_kept;
-            self.cache.retain(|_, used| *used >= oldest_kept);
+            self.cache.retain(|_, last_use| *last_use >= oldest_kept);
         }
-        uncached_chars / CHARS_PER_TOKEN
+        uncached_bytes / BYTES_PER_TOKEN
     }
 }
--- a/crates/ivyweir-standins/src/service.rs
+++ b/crates/ivyweir-standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that echoes what it was asked and records it.
+//! A fake service that echoes and records every request.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,21 +10,21 @@
 use ivyweir_engine::LoadReport;
 use serde_json::json;
 
-const THREADS: usize = 256;
+const SERVER_THREADS: usize = 256;
 const SLOTS: u32 = 64;
 
-/// One call that reached the service.
+/// A request that the service received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceRun {
-    /// Method, path and query.
+    /// Request method, followed by the path with its query.
     pub line: String,
-    /// The `Idempotency-Key` header.
+    /// Value of the `Idempotency-Key` header, or an empty string.
     pub key: String,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// A running service.
+/// A running echo service.
 pub struct Service {
     server: Server,
     shared: Arc<Shared>,
@@ -34,7 +34,7 @@
 struct Shared {
     runs: Mutex<Vec<ServiceRun>>,
     delay_ms: AtomicU64,
-    lose_answers: AtomicBool,
+    lose_responses: AtomicBool,
     running: AtomicU64,
 }
 
@@ -43,46 +43,46 @@
     ///
     /// # Errors
     ///
-    /// When no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start() -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
-        let front = Arc::new(Front {
+        let handler = Arc::new(EchoHandler {
             shared: shared.clone(),
         });
-        let server = Server::start("127.0.0.1:0", THREADS, front)?;
+        let server = Server::start("127.0.0.1:0", SERVER_THREADS, handler)?;
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the socket address that the service listens on.
     pub fn addr(&self) -> String {
         self.server.addr().to_string()
     }
 
-    /// All calls that reached it.
+    /// Returns all requests that the service received.
     pub fn runs(&self) -> Vec<ServiceRun> {
         self.shared
             .runs
             .lock()
-            .expect("no call panics with the lock")
+            .expect("mutex is not poisoned")
             .clone()
     }
 
-    /// Time that each call takes.
+    /// Sets the processing time of each request.
     pub fn set_delay_ms(&self, delay_ms: u64) {
         self.shared.delay_ms.store(delay_ms, Ordering::Relaxed);
     }
 
-    /// Makes every call take effect and fail.
+    /// Makes every request take effect but respond with status 502 while `lose` is true.
     pub fn set_lose_responses(&self, lose: bool) {
-        self.shared.lose_answers.store(lose, Ordering::Relaxed);
+        self.shared.lose_responses.store(lose, Ordering::Relaxed);
     }
 }
 
-struct Front {
+struct EchoHandler {
     shared: Arc<Shared>,
 }
 
-impl Front {
+impl EchoHandler {
     fn run(&self, incoming: &mut Incoming) -> Reply {
         let body = incoming.read_body().unwrap_or_default();
         let key = incoming
@@ -90,11 +90,7 @@
             .unwrap_or_default()
             .to_owned();
         let line = format!("{} {}", incoming.method(), incoming.path_and_query());
-        let mut runs = self
-            .shared
-            .runs
-            .lock()
-            .expect("no call panics with the lock");
+        let mut runs = self.shared.runs.lock().expect("mutex is not poisoned");
         let nth = runs.len();
         runs.push(ServiceRun {
             line: line.clone(),
@@ -105,20 +101,23 @@
         thread::sleep(Duration::from_millis(
             self.shared.delay_ms.load(Ordering::Relaxed),
         ));
-        if self.shared.lose_answers.load(Ordering::Relaxed) {
-            return Reply::text(502, "answer lost");
+        if self.shared.lose_responses.load(Ordering::Relaxed) {
+            return Reply::text(
+                502,
+                "injected fault: response lost after the request took effect",
+            );
         }
-        let answer = json!({
+        let response = json!({
             "line": line,
             "key": key,
             "body": String::from_utf8_lossy(&body),
             "nth": nth,
         });
-        Reply::json(200, answer.to_string().into_bytes()).with_header("X-Service", "stand-in")
+        Reply::json(200, response.to_string().into_bytes()).with_header("X-Service", "stand-in")
     }
 }
 
-impl Handler for Front {
+impl Handler for EchoHandler {
     fn handle(&self, mut incoming: Incoming) {
         if incoming.path() == "/load" {
             let report = LoadReport {
@@ -127,13 +126,13 @@
                 slots: SLOTS,
                 versions: vec![],
             };
-            let body = serde_json::to_vec(&report).expect("a report is always valid JSON");
-            let _caller_gone = incoming.reply(Reply::json(200, body));
+            let body = serde_json::to_vec(&report).expect("a load report serializes to JSON");
+            let _disconnected = incoming.reply(Reply::json(200, body));
             return;
         }
         self.shared.running.fetch_add(1, Ordering::Relaxed);
         let reply = self.run(&mut incoming);
         self.shared.running.fetch_sub(1, Ordering::Relaxed);
-        let _caller_gone = incoming.reply(reply);
+        let _disconnected = incoming.reply(reply);
     }
 }
--- a/crates/ivyweir-standins/src/text.rs
+++ b/crates/ivyweir-standins/src/text.rs
@@ -1,73 +1,74 @@
-//! Answers that a test can check: how many tokens there are, and how good the answer is.
+//! Deterministic answers whose completeness and quality a test can check.
 //!
-//! Quality is hidden in the first word, mixed with the prompt, so that only somebody who knows this
-//! module can read it; the router does not.
+//! The first word encodes the quality, masked with a hash of the prompt. Tests and the rating service
+//! decode it with [`quality`]; the router cannot, so it has to rely on ratings and confidence.
 
 use ivyweir_policy::hash::{hash64, mix};
 
-/// The last word of every whole answer.
-pub const END: &str = "end.";
+/// The last word of every complete answer.
+pub const END_WORD: &str = "end.";
 
-/// An answer before it is generated.
+/// The full content of an answer, computed before any token is sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Draft {
-    /// Its words, in order, each with the space behind it.
+    /// The words in order, each but the last with a trailing space; one word counts as one token.
     pub words: Vec<String>,
-    /// Its quality, 0 to 1.
+    /// Quality of the answer, 0 to 1.
     pub quality: f64,
-    /// The mean probability that an engine gives its tokens.
+    /// Mean token probability that the engine reports.
     pub confidence: f64,
 }
 
-/// A number from 0 to 1 that depends on the parts alone.
-pub fn unit(parts: &[&[u8]]) -> f64 {
+/// Maps `parts` to a deterministic, uniformly distributed number in `[0, 1)`.
+pub fn unit_hash(parts: &[&[u8]]) -> f64 {
     (hash64(parts) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// How hard a prompt is, 0 to 1.
+/// Returns the difficulty of a prompt, 0 to 1.
 pub fn difficulty(prompt: &str) -> f64 {
-    unit(&[b"difficulty", prompt.as_bytes()])
+    unit_hash(&[b"difficulty", prompt.as_bytes()])
 }
 
-/// Drafts the answer of a version of some `skill` to a prompt.
+/// Computes the answer of a version to a prompt.
 ///
-/// The answer is good when skill outweighs difficulty; confidence says so, with noise.
+/// The probability of a good answer is a logistic function of `skill` minus the difficulty of the
+/// prompt. The confidence is a noisy linear function of the same margin.
 pub fn draft(prompt: &str, version: &str, skill: f64, tokens: usize) -> Draft {
     let seed = [prompt.as_bytes(), version.as_bytes()];
     let margin = skill - difficulty(prompt);
-    let chance = 1.0 / (1.0 + (-12.0 * margin).exp());
-    let is_good = unit(&[b"good", seed[0], seed[1]]) < chance;
-    let spread = unit(&[b"spread", seed[0], seed[1]]);
+    let good_probability = 1.0 / (1.0 + (-12.0 * margin).exp());
+    let is_good = unit_hash(&[b"good", seed[0], seed[1]]) < good_probability;
+    let spread = unit_hash(&[b"spread", seed[0], seed[1]]);
     let quality = if is_good {
         0.9 + 0.1 * spread
     } else {
         0.4 * spread
     };
-    let noise = unit(&[b"noise", seed[0], seed[1]]) - 0.5;
+    let noise = unit_hash(&[b"noise", seed[0], seed[1]]) - 0.5;
     let confidence = (0.55 + 0.5 * margin + 0.25 * noise).clamp(0.02, 0.99);
     Draft {
-        words: words(prompt, version, quality, tokens),
+        words: encode_words(prompt, version, quality, tokens),
         quality,
         confidence,
     }
 }
 
-fn words(prompt: &str, version: &str, quality: f64, tokens: usize) -> Vec<String> {
+fn encode_words(prompt: &str, version: &str, quality: f64, tokens: usize) -> Vec<String> {
     let mask = hash64(&[b"mask", prompt.as_bytes()]);
-    let hidden = ((quality * 1_000.0).round() as u64) ^ (mask & 0xffff);
+    let masked_quality = ((quality * 1_000.0).round() as u64) ^ (mask & 0xffff);
     let salt = hash64(&[version.as_bytes()]);
-    let mut words = vec![format!("r{hidden:x} ")];
-    for at in 1..tokens.saturating_sub(1) {
+    let mut words = vec![format!("r{masked_quality:x} ")];
+    for index in 1..tokens.saturating_sub(1) {
         words.push(format!(
             "{} ",
-            WORDS[(mix(mask ^ salt, at as u64) % WORDS.len() as u64) as usize]
+            VOCABULARY[(mix(mask ^ salt, index as u64) % VOCABULARY.len() as u64) as usize]
         ));
     }
-    words.push(END.to_owned());
+    words.push(END_WORD.to_owned());
     words
 }
 
-const WORDS: &[&str] = &[
+const VOCABULARY: &[&str] = &[
     "the",
     "host",
     "opens",
@@ -90,14 +91,17 @@
     "follow",
 ];
 
-/// The quality of a whole answer; none if it is not one.
+/// Decodes the quality of an answer to `prompt`.
+///
+/// Returns `None` if the answer is incomplete. An answer to another prompt also gives `None` in most
+/// cases, because the unmasked value is then random and usually out of range.
 pub fn quality(prompt: &str, answer: &str) -> Option<f64> {
-    if !answer.ends_with(END) {
+    if !answer.ends_with(END_WORD) {
         return None;
     }
     let first = answer.split(' ').next()?.strip_prefix('r')?;
-    let hidden = u64::from_str_radix(first, 16).ok()?;
+    let masked_quality = u64::from_str_radix(first, 16).ok()?;
     let mask = hash64(&[b"mask", prompt.as_bytes()]);
-    let milli = hidden ^ (mask & 0xffff);
-    (milli <= 1_000).then_some(milli as f64 / 1_000.0)
+    let quality_permille = masked_quality ^ (mask & 0xffff);
+    (quality_permille <= 1_000).then_some(quality_permille as f64 / 1_000.0)
 }
