--- a/crates/ivyweir-standins/examples/load/cost.rs
+++ b/crates/ivyweir-standins/examples/load/cost.rs
@@ -19,11 +19,16 @@
 }
 
 fn since(world: &Cluster, from_ms: u64) -> u64 {
-    let segments = world.platform.peek_all("bill/").into_iter().map(|body| {
-        let mut segment: Segment = serde_json::from_slice(&body).expect("segments are valid JSON");
-        segment.records.retain(|r| r.at_ms >= from_ms);
-        segment
-    });
+    let segments = world
+        .platform
+        .objects_with_prefix("bill/")
+        .into_iter()
+        .map(|body| {
+            let mut segment: Segment =
+                serde_json::from_slice(&body).expect("segments are valid JSON");
+            segment.records.retain(|r| r.at_ms >= from_ms);
+            segment
+        });
     let bill = Bill::from_segments(segments);
     bill.workspaces.values().map(|t| t.cost_micro).sum()
 }
--- a/crates/ivyweir-standins/src/box_process.rs
+++ b/crates/ivyweir-standins/src/box_process.rs
@@ -1,4 +1,4 @@
-//! Boxes as real processes, for tests and examples.
+//! Runs boxes as separate processes, for tests and examples.
 
 use std::fs;
 use std::io;
@@ -11,19 +11,19 @@
 
 use crate::child;
 
-/// Builds the two binaries as this program was built and returns their folder.
+/// Builds `ivyweird` and `ivyweir` with the profile of the current program and returns their folder.
 ///
-/// For examples, which cargo builds without the binaries of other packages.
+/// Examples need this because cargo does not build the binaries of other packages for them.
 ///
 /// # Errors
 ///
-/// When cargo fails or this program does not lie in a cargo target folder.
+/// Returns an error if cargo fails or if the current program is not in a cargo target folder.
 pub fn build_binaries() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?;
     let folder = program
         .ancestors()
         .nth(2)
-        .ok_or_else(|| io::Error::other("not in a target folder"))?
+        .ok_or_else(|| io::Error::other("the current program is not in a cargo target folder"))?
         .to_owned();
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
     let mut build = Command::new(cargo);
@@ -37,70 +37,73 @@
     if build.status()?.success() {
         Ok(folder)
     } else {
-        Err(io::Error::other("the binaries could not be built"))
+        Err(io::Error::other(
+            "cargo failed to build ivyweird and ivyweir",
+        ))
     }
 }
 
-/// A box's settings file.
+/// Contents of the settings file of a box.
 #[derive(Debug, Clone, Serialize)]
 pub struct Settings {
-    /// The box's name.
+    /// Name of the box.
     pub box_name: String,
-    /// Its data hall.
+    /// Data hall of the box.
     pub hall: String,
-    /// Where callers reach it.
+    /// Listen address for callers.
     pub caller_addr: String,
-    /// Where operators reach it.
+    /// Listen address for operators.
     pub operator_addr: String,
-    /// Where peers reach it.
+    /// Listen address for peers.
     pub peer_addr: String,
-    /// The platform.
+    /// Base URL of the platform.
     pub platform_url: String,
-    /// The rating service, if there is one.
+    /// Base URL of the rating service, if any.
     pub rating_url: Option<String>,
-    /// Hex of the key that peers share.
+    /// Key shared by all peers, in hexadecimal.
     pub fleet_key_hex: String,
-    /// Hash of the key of the first operator, for an empty store.
+    /// Hash of the first operator's key, used when the store is empty.
     pub bootstrap_operator_key_hash: Option<String>,
-    /// Choices of the policy, for experiments.
+    /// Overrides of the policy settings, for experiments.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub policy: Option<serde_json::Value>,
-    /// The boxes' limits, if not the usual ones.
+    /// Overrides of the default limits.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limits: Option<serde_json::Value>,
-    /// Where peers reach the box, if not at `peer_addr`.
+    /// Address that peers connect to, if it differs from `peer_addr`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub advertised_peer_addr: Option<String>,
-    /// Addresses of peers to try when the platform is out.
+    /// Peers to contact if the platform is unavailable.
     pub seed_peers: Vec<String>,
 }
 
-/// What a box is started with.
+/// Configuration of a box process.
 #[derive(Debug, Clone)]
 pub struct BoxSpec {
     /// The `ivyweird` binary.
     pub binary: PathBuf,
-    /// Folder for the settings file.
+    /// Folder for the settings file and the log.
     pub folder: PathBuf,
-    /// The settings.
+    /// Contents of the settings file.
     pub settings: Settings,
-    /// Other environment variables, as fail points.
+    /// Additional environment variables, such as fail points.
     pub env: Vec<(String, String)>,
 }
 
-/// A running box; it is killed when dropped.
+/// A running box process, killed on drop.
 pub struct BoxProcess {
     child: Child,
-    /// Its settings.
+    /// Settings of the box, with the addresses that it actually listens on.
     pub settings: Settings,
 }
 
 impl BoxSpec {
-    /// Writes the settings, starts the box and waits until it says where it listens.
+    /// Writes the settings file, starts the box and waits until it logs its listen addresses.
     ///
     /// # Errors
     ///
-    /// When the file cannot be written, the process not be started, or it does not listen.
+    /// Returns an error if the settings file cannot be written, the process cannot be started, or no
+    /// listen addresses are logged within 30 s.
     pub fn start(&self) -> io::Result<BoxProcess> {
         fs::create_dir_all(&self.folder)?;
         let name = &self.settings.box_name;
@@ -109,7 +112,7 @@
         let log_path = self.folder.join(format!("{name}.log"));
         let mut open_log = fs::OpenOptions::new();
         let log = open_log.create(true).append(true).open(&log_path)?;
-        let logged_before = log.metadata()?.len() as usize;
+        let log_offset = log.metadata()?.len() as usize;
         let child = Command::new(&self.binary)
             .arg("--settings")
             .arg(&file)
@@ -122,33 +125,37 @@
             child,
             settings: self.settings.clone(),
         };
-        process.read_addresses(&log_path, logged_before)?;
+        process.read_addresses(&log_path, log_offset)?;
         Ok(process)
     }
 }
 
-/// Time for a box to say where it listens.
-const START_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum time until a box logs its listen addresses.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The address behind `what` in a box's first line, `… callers at A, operators at B, peers at C`.
-fn address<'t>(text: &'t str, what: &str) -> Option<&'t str> {
-    let (_, rest) = text.split_once(&format!("{what} at "))?;
+/// Returns the address of `role` in the line that a box logs on start, `… callers at A, operators at B, peers at C`.
+fn parse_address<'t>(text: &'t str, role: &str) -> Option<&'t str> {
+    let (_, rest) = text.split_once(&format!("{role} at "))?;
     let end = rest.find(|c: char| !c.is_ascii_digit() && c != '.' && c != ':');
     end.map(|end| rest[..end].trim_end_matches('.'))
 }
 
 impl BoxProcess {
-    fn read_addresses(&mut self, log: &Path, from: usize) -> io::Result<()> {
-        let deadline = Instant::now() + START_LIMIT;
+    fn read_addresses(&mut self, log_path: &Path, log_offset: usize) -> io::Result<()> {
+        let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline && self.is_running() {
-            let text = fs::read_to_string(log)?;
-            let line = text[from..]
+            let text = fs::read_to_string(log_path)?;
+            let line = text[log_offset..]
                 .lines()
                 .find(|l| l.contains("listening for callers at"));
             if let Some(line) = line {
-                let read = |what| {
-                    let found = address(line, what).map(str::to_owned);
-                    found.ok_or_else(|| io::Error::other(format!("no address of {what}: {line}")))
+                let read = |role| {
+                    let found = parse_address(line, role).map(str::to_owned);
+                    found.ok_or_else(|| {
+                        io::Error::other(format!(
+                            "no listen address for {role} in log line: {line}"
+                        ))
+                    })
                 };
                 self.settings.caller_addr = read("callers")?;
                 self.settings.operator_addr = read("operators")?;
@@ -158,27 +165,31 @@
             thread::sleep(Duration::from_millis(5));
         }
         Err(io::Error::other(format!(
-            "{} does not listen",
+            "{} did not log its listen addresses",
             self.settings.box_name
         )))
     }
 
-    /// Base URL for callers.
+    /// Returns the base URL for callers.
     pub fn caller_url(&self) -> String {
         format!("http://{}", self.settings.caller_addr)
     }
 
-    /// Base URL for operators.
+    /// Returns the base URL for operators.
     pub fn operator_url(&self) -> String {
         format!("http://{}", self.settings.operator_addr)
     }
 
-    /// The process id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal by its name, such as `TERM`, `STOP` or `CONT`.
+    /// Sends a signal by name, such as `TERM`, `STOP` or `CONT`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the signal cannot be sent.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .arg(format!("-{name}"))
@@ -186,26 +197,28 @@
             .status();
         assert!(
             sent.is_ok_and(|s| s.success()),
-            "signal {name} was not sent"
+            "failed to send signal {name}"
         );
     }
 
-    /// Kills it at once.
+    /// Kills the process with `SIGKILL` and waits for its exit.
     pub fn kill(&mut self) {
         child::kill(&mut self.child);
     }
 
-    /// Waits until it has ended and returns its exit code; none if that takes over `limit`.
-    pub fn wait_exit(&mut self, limit: Duration) -> Option<i32> {
-        child::wait_exit(&mut self.child, limit)
+    /// Waits for the process to exit and returns its exit code.
+    ///
+    /// Returns `None` if the process was ended by a signal or is still running after `timeout`.
+    pub fn wait_exit(&mut self, timeout: Duration) -> Option<i32> {
+        child::wait_exit(&mut self.child, timeout)
     }
 
-    /// Whether it still runs.
+    /// Returns whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Whether it says that it is ready.
+    /// Returns whether `/readyz` reports that the box is ready.
     pub fn is_ready(&self) -> bool {
         attohttpc::get(format!("{}/readyz", self.caller_url()))
             .timeout(Duration::from_secs(1))
@@ -213,9 +226,9 @@
             .is_ok_and(|r| r.is_success())
     }
 
-    /// Resident memory, in bytes.
+    /// Returns the resident memory of the process, in bytes, or 0 if it cannot be read.
     pub fn resident_bytes(&self) -> u64 {
-        read_status(self.pid(), "VmRSS:").unwrap_or(0) * 1_024
+        read_proc_status(self.pid(), "VmRSS:").unwrap_or(0) * 1_024
     }
 }
 
@@ -225,7 +238,7 @@
     }
 }
 
-fn read_status(pid: u32, field: &str) -> Option<u64> {
+fn read_proc_status(pid: u32, field: &str) -> Option<u64> {
     let status =
         fs::read_to_string(Path::new("/proc").join(pid.to_string()).join("status")).ok()?;
     let line = status.lines().find(|l| l.starts_with(field))?;
--- a/crates/ivyweir-standins/src/caller.rs
+++ b/crates/ivyweir-standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller with an ordinary HTTP client.
+//! A client of the caller API, on top of a general-purpose HTTP client.
 
 use std::io::{BufRead, BufReader};
 use std::time::{Duration, Instant};
@@ -6,9 +6,9 @@
 use attohttpc::{Method, ProxySettings, RequestBuilder};
 use serde_json::{Value, json};
 
-const TIMEOUT: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A caller of one workspace at one box.
+/// A client that calls one box with the key of one workspace.
 #[derive(Debug, Clone)]
 pub struct Caller {
     base_url: String,
@@ -16,37 +16,37 @@
     headers: Vec<(String, String)>,
 }
 
-/// How a call ended.
+/// The result of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// HTTP status; 0 if there was no answer.
+    /// HTTP status, or 0 if no response was received.
     pub status: u16,
-    /// The answer's text, or what there was of it.
+    /// The generated text; partial if the response is not complete.
     pub text: String,
-    /// Whether the answer was whole.
+    /// Whether the response was received completely.
     pub complete: bool,
-    /// The refusal's code, if it was one.
+    /// Error code, or an empty string.
     pub code: String,
-    /// Whether a refused request has run: `not_run` or `unknown`.
+    /// Whether a failed request was executed: `not_run`, `unknown`, or an empty string.
     pub run: String,
-    /// The version that answered.
+    /// The model version that generated the response.
     pub version: String,
-    /// Tokens used.
+    /// Number of tokens: the reported usage, or the number of events received if streaming.
     pub tokens: u64,
-    /// Time to the first token.
+    /// Time to the first token; for a response that is not streamed, the total time.
     pub first_token: Duration,
-    /// Time to the end.
+    /// Time to the end of the response.
     pub total: Duration,
-    /// Longest time between two tokens.
+    /// Longest time between two consecutive tokens.
     pub longest_gap: Duration,
-    /// When to come back, if the refusal said.
+    /// Value of the `Retry-After-Ms` header.
     pub retry_after_ms: Option<u64>,
-    /// The body as it came.
+    /// The JSON body; null if streaming or if the body is not JSON.
     pub body: Value,
 }
 
 impl Caller {
-    /// A caller at `base_url` with a workspace key.
+    /// Creates a client for `base_url` that authenticates with a workspace key.
     pub fn new(base_url: &str, key: &str) -> Self {
         Self {
             base_url: base_url.to_owned(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The same caller with one more header.
+    /// Returns a copy of the client that sends an additional header.
     #[must_use]
     pub fn with_header(&self, name: &str, value: &str) -> Self {
         let mut caller = self.clone();
@@ -63,20 +63,21 @@
         caller
     }
 
-    /// The same caller with a request key and the mark that it may run at most once.
+    /// Returns a copy of the client that sends an idempotency key and marks its requests as not
+    /// repeatable.
     #[must_use]
     pub fn at_most_once(&self, key: &str) -> Self {
         self.with_header("Idempotency-Key", key)
             .with_header("X-Ivyweir-Repeatable", "no")
     }
 
-    /// A request on this box's API.
+    /// Creates a request to the box.
     pub fn request(&self, method: Method, path: &str) -> RequestBuilder {
         let mut request = RequestBuilder::new(method, format!("{}{path}", self.base_url))
             .proxy_settings(ProxySettings::builder().build())
             .follow_redirects(false)
             .bearer_auth(&self.key)
-            .timeout(TIMEOUT);
+            .timeout(REQUEST_TIMEOUT);
         for (name, value) in &self.headers {
             let name: attohttpc::header::HeaderName = name.parse().expect("header names are valid");
             request = request.header(name, value.as_str());
@@ -84,13 +85,13 @@
         request
     }
 
-    /// Opens a session. Returns its token, or the refusal.
+    /// Opens a session and returns its token.
     ///
     /// # Errors
     ///
-    /// The refusal's code.
+    /// Returns the error code of the response.
     pub fn open_session(&self) -> Result<String, String> {
-        let outcome = finish(
+        let outcome = into_outcome(
             self.request(Method::POST, "/v1/sessions").send(),
             Instant::now(),
         );
@@ -100,23 +101,23 @@
         }
     }
 
-    /// The same caller in a session.
+    /// Returns a copy of the client that sends its requests within a session.
     #[must_use]
     pub fn in_session(&self, token: &str) -> Self {
         self.with_header("X-Ivyweir-Session", token)
     }
 
-    /// Asks for a whole answer.
+    /// Sends a chat completion request that is not streamed.
     pub fn chat(&self, model: &str, prompt: &str, max_tokens: u64) -> Outcome {
         let started = Instant::now();
         let body = chat_body(model, prompt, max_tokens, false);
         let request = self
             .request(Method::POST, "/v1/chat/completions")
             .json(&body);
-        finish(request.and_then(|r| r.send()), started)
+        into_outcome(request.and_then(|r| r.send()), started)
     }
 
-    /// Asks for a stream.
+    /// Sends a chat completion request and reads the streamed response.
     pub fn stream(&self, model: &str, prompt: &str, max_tokens: u64) -> Outcome {
         let started = Instant::now();
         let body = chat_body(model, prompt, max_tokens, true);
@@ -125,14 +126,14 @@
             .json(&body);
         match request.and_then(|r| r.send()) {
             Ok(response) if response.is_success() => read_stream(response, started),
-            other => finish(other, started),
+            other => into_outcome(other, started),
         }
     }
 
-    /// Calls a plain service.
+    /// Sends a request to a service.
     pub fn service(&self, method: Method, path: &str, body: &str) -> Outcome {
         let started = Instant::now();
-        finish(self.request(method, path).text(body).send(), started)
+        into_outcome(self.request(method, path).text(body).send(), started)
     }
 }
 
@@ -146,7 +147,7 @@
     })
 }
 
-fn empty(status: u16, started: Instant) -> Outcome {
+fn empty_outcome(status: u16, started: Instant) -> Outcome {
     Outcome {
         status,
         text: String::new(),
@@ -163,9 +164,9 @@
     }
 }
 
-fn finish(sent: attohttpc::Result<attohttpc::Response>, started: Instant) -> Outcome {
+fn into_outcome(sent: attohttpc::Result<attohttpc::Response>, started: Instant) -> Outcome {
     let Ok(response) = sent else {
-        return empty(0, started);
+        return empty_outcome(0, started);
     };
     let status = response.status().as_u16();
     let header = |name: &str| {
@@ -175,7 +176,7 @@
     let version = header("x-ivyweir-version");
     let retry_after_ms = header("retry-after-ms").parse().ok();
     let Ok(bytes) = response.bytes() else {
-        return empty(0, started);
+        return empty_outcome(0, started);
     };
     let body: Value = serde_json::from_slice(&bytes).unwrap_or_default();
     let text = |at: &str| {
@@ -194,19 +195,19 @@
             .unwrap_or(0),
         retry_after_ms,
         body,
-        ..empty(status, started)
+        ..empty_outcome(status, started)
     }
 }
 
 fn read_stream(response: attohttpc::Response, started: Instant) -> Outcome {
-    let mut outcome = empty(200, started);
+    let mut outcome = empty_outcome(200, started);
     let version = response
         .headers()
         .get("x-ivyweir-version")
         .and_then(|v| v.to_str().ok());
     outcome.version = version.unwrap_or_default().to_owned();
     let (_, _, reader) = response.split();
-    let mut last = None;
+    let mut last_token_at = None;
     let mut has_finish = false;
     for line in BufReader::new(reader).lines() {
         let Ok(line) = line else {
@@ -233,11 +234,13 @@
             .and_then(Value::as_str)
         {
             let now = Instant::now();
-            match last {
+            match last_token_at {
                 None => outcome.first_token = started.elapsed(),
-                Some(last) => outcome.longest_gap = outcome.longest_gap.max(now - last),
+                Some(last_token_at) => {
+                    outcome.longest_gap = outcome.longest_gap.max(now - last_token_at)
+                }
             }
-            last = Some(now);
+            last_token_at = Some(now);
             outcome.tokens += 1;
             outcome.text.push_str(word);
         }
--- a/crates/ivyweir-standins/src/platform.rs
+++ b/crates/ivyweir-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: objects with revisions, watches, a box list, rate limits and faults.
+//! A fake platform: versioned objects with watches, a box list, rate limits and fault injection.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,15 +10,15 @@
 use ivyweir_policy::{BoxEntry, BoxList, BoxState};
 use serde_json::json;
 
-const THREADS: usize = 256;
+const SERVER_THREADS: usize = 256;
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Limits of the platform.
+/// Rate limits of the platform.
 #[derive(Debug, Clone, Copy)]
 pub struct PlatformOptions {
-    /// Writes a second; more are refused with 429.
+    /// Writes per second; excess writes are rejected with status 429.
     pub writes_per_s: f64,
-    /// Reads a second, watches included; more are refused with 429.
+    /// Reads per second, including watches; excess reads are rejected with status 429.
     pub reads_per_s: f64,
 }
 
@@ -31,31 +31,31 @@
     }
 }
 
-/// What the platform suffers from now.
+/// Faults injected into the platform.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PlatformFaults {
-    /// Every call fails.
+    /// Every request fails with status 503.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// Additional latency of every request, in milliseconds.
     pub delay_ms: u64,
-    /// One write in so many takes effect and has its answer lost; 0 for none.
+    /// One write in this many takes effect but responds with status 500; 0 disables the fault.
     pub lose_response_every: u64,
 }
 
-/// How often the platform was called.
+/// Number of requests that the platform received, by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallCount {
-    /// Reads and listings.
+    /// Reads and listings within the rate limit.
     pub reads: u64,
-    /// Watches.
+    /// Watches within the rate limit.
     pub watches: u64,
-    /// Writes and deletes.
+    /// Writes and deletes within the rate limit.
     pub writes: u64,
-    /// Calls refused for the rate.
+    /// Requests rejected by the rate limit.
     pub limited: u64,
 }
 
-/// A running stand-in of the platform.
+/// A running fake platform.
 pub struct Platform {
     server: Server,
     shared: Arc<Shared>,
@@ -78,36 +78,36 @@
     boxes: BoxList,
     faults: PlatformFaults,
     count: CallCount,
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
-/// A token bucket that holds one second's worth.
-struct Bucket {
+/// A token bucket whose capacity is the refill of one second.
+struct TokenBucket {
     rate_per_s: f64,
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate_per_s: f64) -> Self {
         Self {
             rate_per_s,
             tokens: rate_per_s,
-            filled: Instant::now(),
+            refilled_at: Instant::now(),
         }
     }
 
-    fn take(&mut self) -> bool {
+    fn try_take(&mut self) -> bool {
         let now = Instant::now();
-        let fresh = now.duration_since(self.filled).as_secs_f64() * self.rate_per_s;
-        self.tokens = (self.tokens + fresh).min(self.rate_per_s);
-        self.filled = now;
-        let has = self.tokens >= 1.0;
-        if has {
+        let refilled = now.duration_since(self.refilled_at).as_secs_f64() * self.rate_per_s;
+        self.tokens = (self.tokens + refilled).min(self.rate_per_s);
+        self.refilled_at = now;
+        let allowed = self.tokens >= 1.0;
+        if allowed {
             self.tokens -= 1.0;
         }
-        has
+        allowed
     }
 }
 
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     ///
-    /// When no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start(options: PlatformOptions) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             state: Mutex::new(State {
@@ -125,40 +125,40 @@
                 boxes: BoxList::default(),
                 faults: PlatformFaults::default(),
                 count: CallCount::default(),
-                reads: Bucket::new(options.reads_per_s),
-                writes: Bucket::new(options.writes_per_s),
+                reads: TokenBucket::new(options.reads_per_s),
+                writes: TokenBucket::new(options.writes_per_s),
             }),
             changed: Condvar::new(),
         });
-        let handler = Arc::new(Front {
+        let handler = Arc::new(PlatformHandler {
             shared: shared.clone(),
         });
-        let server = Server::start("127.0.0.1:0", THREADS, handler)?;
+        let server = Server::start("127.0.0.1:0", SERVER_THREADS, handler)?;
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// Returns the base URL of the platform.
     pub fn base_url(&self) -> String {
         format!("http://{}", self.server.addr())
     }
 
-    /// The socket address it listens on.
+    /// Returns the socket address that the platform listens on.
     pub fn addr(&self) -> String {
         self.server.addr().to_string()
     }
 
-    /// Sets what it suffers from.
+    /// Sets the injected faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.shared.lock().faults = faults;
         self.shared.changed.notify_all();
     }
 
-    /// How often it was called so far.
+    /// Returns the number of requests received so far.
     pub fn count(&self) -> CallCount {
         self.shared.lock().count
     }
 
-    /// Puts a machine on the list, or replaces it there.
+    /// Adds a machine to the box list, replacing an entry of the same name.
     pub fn register_box(&self, entry: BoxEntry) {
         let mut state = self.shared.lock();
         state.boxes.boxes.retain(|b| b.name != entry.name);
@@ -166,7 +166,7 @@
         state.boxes.generation += 1;
     }
 
-    /// Marks a machine on the list as leaving.
+    /// Marks a machine on the box list as leaving.
     pub fn mark_leaving(&self, name: &str) {
         let mut state = self.shared.lock();
         for entry in state
@@ -180,20 +180,20 @@
         state.boxes.generation += 1;
     }
 
-    /// Takes a machine off the list.
+    /// Removes a machine from the box list.
     pub fn deregister_box(&self, name: &str) {
         let mut state = self.shared.lock();
         state.boxes.boxes.retain(|b| b.name.as_ref() != name);
         state.boxes.generation += 1;
     }
 
-    /// The value of an object, read behind the API's back.
-    pub fn peek(&self, name: &str) -> Option<Vec<u8>> {
+    /// Returns the value of an object without going through the API.
+    pub fn object(&self, name: &str) -> Option<Vec<u8>> {
         self.shared.lock().objects.get(name).map(|o| o.body.clone())
     }
 
-    /// Values of all objects whose name starts with `prefix`.
-    pub fn peek_all(&self, prefix: &str) -> Vec<Vec<u8>> {
+    /// Returns the values of all objects whose name starts with `prefix`, without going through the API.
+    pub fn objects_with_prefix(&self, prefix: &str) -> Vec<Vec<u8>> {
         let state = self.shared.lock();
         let with_prefix = state.objects.range(prefix.to_owned()..);
         with_prefix
@@ -202,7 +202,7 @@
             .collect()
     }
 
-    /// Overwrites an object behind the API's back, as a restore from a backup does.
+    /// Overwrites an object without going through the API, as a restore from a backup does.
     pub fn restore(&self, name: &str, body: Vec<u8>) {
         let mut state = self.shared.lock();
         state.revision += 1;
@@ -216,13 +216,13 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no call panics with the lock")
+        self.state.lock().expect("mutex is not poisoned")
     }
 
     fn get(&self, name: &str) -> Reply {
         match self.lock().objects.get(name) {
-            Some(object) => value_reply(object),
-            None => Reply::text(404, "no such object"),
+            Some(object) => object_response(object),
+            None => Reply::text(404, "object not found"),
         }
     }
 
@@ -231,35 +231,35 @@
         let mut state = self.lock();
         loop {
             if state.faults.down {
-                return Reply::text(503, "out");
+                return Reply::text(503, "platform is down");
             }
             match state.objects.get(name) {
-                Some(o) if o.revision != after_revision => return value_reply(o),
+                Some(o) if o.revision != after_revision => return object_response(o),
                 found => {
-                    let left = deadline.saturating_duration_since(Instant::now());
-                    if left.is_zero() {
+                    let remaining = deadline.saturating_duration_since(Instant::now());
+                    if remaining.is_zero() {
                         let status = if found.is_some() { 304 } else { 404 };
                         return Reply::text(status, "");
                     }
                     state = self
                         .changed
-                        .wait_timeout(state, left)
-                        .expect("no call panics with the lock")
+                        .wait_timeout(state, remaining)
+                        .expect("mutex is not poisoned")
                         .0;
                 }
             }
         }
     }
 
-    fn write(&self, name: &str, expect: &Expectation, body: Option<Vec<u8>>) -> Reply {
+    fn write(&self, name: &str, precondition: &Precondition, body: Option<Vec<u8>>) -> Reply {
         let mut state = self.lock();
         let found = state.objects.get(name).map(|o| o.revision);
-        let as_expected = match expect {
-            Expectation::Absent => found.is_none(),
-            Expectation::Revision(revision) => found == Some(*revision),
+        let precondition_holds = match precondition {
+            Precondition::Absent => found.is_none(),
+            Precondition::Revision(revision) => found == Some(*revision),
         };
-        if !as_expected {
-            return Reply::text(412, "not as expected");
+        if !precondition_holds {
+            return Reply::text(412, "precondition failed");
         }
         state.revision += 1;
         let revision = state.revision;
@@ -272,9 +272,12 @@
             None => drop(state.objects.remove(name)),
         }
         self.changed.notify_all();
-        let every = state.faults.lose_response_every;
-        if every > 0 && revision.is_multiple_of(every) {
-            return Reply::text(500, "answer lost");
+        let loss_interval = state.faults.lose_response_every;
+        if loss_interval > 0 && revision.is_multiple_of(loss_interval) {
+            return Reply::text(
+                500,
+                "injected fault: response lost after the write took effect",
+            );
         }
         Reply::text(200, "").with_header("ETag", format!("\"{revision}\""))
     }
@@ -297,13 +300,13 @@
     }
 }
 
-enum Expectation {
+enum Precondition {
     Absent,
     Revision(u64),
 }
 
-impl Expectation {
-    fn of(incoming: &Incoming) -> Option<Self> {
+impl Precondition {
+    fn from_headers(incoming: &Incoming) -> Option<Self> {
         if incoming.header("If-None-Match") == Some("*") {
             return Some(Self::Absent);
         }
@@ -312,7 +315,7 @@
     }
 }
 
-fn value_reply(object: &Stored) -> Reply {
+fn object_response(object: &Stored) -> Reply {
     Reply {
         status: 200,
         headers: vec![],
@@ -321,19 +324,19 @@
     .with_header("ETag", format!("\"{}\"", object.revision))
 }
 
-struct Front {
+struct PlatformHandler {
     shared: Arc<Shared>,
 }
 
-impl Front {
-    /// Counts the call, delays it, and refuses it where a fault or a limit says so.
-    fn gate(&self, is_write: bool, is_watch: bool) -> Option<Reply> {
+impl PlatformHandler {
+    /// Counts and delays the request. Returns a response if a fault or the rate limit rejects it.
+    fn admit(&self, is_write: bool, is_watch: bool) -> Option<Reply> {
         let (faults, allowed) = {
             let mut state = self.shared.lock();
             let allowed = if is_write {
-                state.writes.take()
+                state.writes.try_take()
             } else {
-                state.reads.take()
+                state.reads.try_take()
             };
             let count = &mut state.count;
             match (allowed, is_write, is_watch) {
@@ -346,76 +349,78 @@
         };
         thread::sleep(Duration::from_millis(faults.delay_ms));
         if faults.down {
-            return Some(Reply::text(503, "out"));
+            return Some(Reply::text(503, "platform is down"));
         }
-        (!allowed).then(|| Reply::text(429, "rate"))
+        (!allowed).then(|| Reply::text(429, "rate limit exceeded"))
     }
 
-    fn answer(&self, incoming: &mut Incoming) -> Reply {
+    fn respond(&self, incoming: &mut Incoming) -> Reply {
         let is_write = matches!(incoming.method(), "PUT" | "DELETE");
-        let after_revision = query(incoming, "watch_after").and_then(|v| v.parse().ok());
-        if let Some(refusal) = self.gate(is_write, after_revision.is_some()) {
+        let after_revision = query_parameter(incoming, "watch_after").and_then(|v| v.parse().ok());
+        if let Some(refusal) = self.admit(is_write, after_revision.is_some()) {
             return refusal;
         }
         let path = incoming.path().to_owned();
         let Some(name) = path.strip_prefix("/objects/") else {
-            return self.answer_list(incoming, &path);
+            return self.respond_to_listing(incoming, &path);
         };
         match (incoming.method(), after_revision) {
             ("GET", None) => self.shared.get(name),
             ("GET", Some(after_revision)) => {
-                let wait_ms = query(incoming, "wait_ms").and_then(|v| v.parse().ok());
+                let wait_ms = query_parameter(incoming, "wait_ms").and_then(|v| v.parse().ok());
                 let wait = Duration::from_millis(wait_ms.unwrap_or(0));
                 self.shared.watch(name, after_revision, wait)
             }
             ("PUT", _) => self.put(incoming, name),
-            ("DELETE", _) => match Expectation::of(incoming) {
-                Some(expect) => self.shared.write(name, &expect, None),
-                None => Reply::text(400, "no precondition"),
+            ("DELETE", _) => match Precondition::from_headers(incoming) {
+                Some(precondition) => self.shared.write(name, &precondition, None),
+                None => Reply::text(400, "If-Match or If-None-Match: * is required"),
             },
-            _ => Reply::text(405, "method"),
+            _ => Reply::text(405, "method not allowed"),
         }
     }
 
     fn put(&self, incoming: &mut Incoming, name: &str) -> Reply {
-        let Some(expect) = Expectation::of(incoming) else {
-            return Reply::text(400, "no precondition");
+        let Some(precondition) = Precondition::from_headers(incoming) else {
+            return Reply::text(400, "If-Match or If-None-Match: * is required");
         };
         match incoming.read_body() {
             Ok(body) if body.len() <= MAX_VALUE_BYTES => {
-                self.shared.write(name, &expect, Some(body))
+                self.shared.write(name, &precondition, Some(body))
             }
             Ok(_) => Reply::text(413, "value over 1 MiB"),
             Err(refusal) => Reply::from(&refusal),
         }
     }
 
-    fn answer_list(&self, incoming: &Incoming, path: &str) -> Reply {
+    fn respond_to_listing(&self, incoming: &Incoming, path: &str) -> Reply {
         match path {
             "/objects" => {
-                let prefix = query(incoming, "prefix").unwrap_or_default();
-                let after = query(incoming, "after").unwrap_or_default();
-                let limit = query(incoming, "limit").and_then(|v| v.parse().ok());
+                let prefix = query_parameter(incoming, "prefix").unwrap_or_default();
+                let after = query_parameter(incoming, "after").unwrap_or_default();
+                let limit = query_parameter(incoming, "limit").and_then(|v| v.parse().ok());
                 self.shared.list(&prefix, &after, limit.unwrap_or(100))
             }
             "/boxes" => {
                 let body = serde_json::to_vec(&self.shared.lock().boxes);
-                Reply::json(200, body.expect("a box list is always valid JSON"))
+                Reply::json(200, body.expect("a box list serializes to JSON"))
             }
-            _ => Reply::text(404, "no such path"),
+            _ => Reply::text(404, "path not found"),
         }
     }
 }
 
-impl Handler for Front {
+impl Handler for PlatformHandler {
     fn handle(&self, mut incoming: Incoming) {
-        let reply = self.answer(&mut incoming);
-        let _caller_gone = incoming.reply(reply);
+        let reply = self.respond(&mut incoming);
+        let _disconnected = incoming.reply(reply);
     }
 }
 
-/// A query parameter; names in the store need no more decoding than the slash.
-fn query(incoming: &Incoming, name: &str) -> Option<String> {
+/// Returns the value of a query parameter.
+///
+/// Only `%2F` is decoded, because object names contain no other character that needs escaping.
+fn query_parameter(incoming: &Incoming, name: &str) -> Option<String> {
     let (_, query) = incoming.path_and_query().split_once('?')?;
     query
         .split('&')
--- a/crates/ivyweird/tests/answers.rs
+++ b/crates/ivyweird/tests/answers.rs
@@ -248,7 +248,7 @@
     wait_until("it has begun", || share(&world, 1) > 0);
     let body = world
         .platform
-        .peek("leases/duties")
+        .object("leases/duties")
         .expect("somebody holds the lease");
     let lease: serde_json::Value = serde_json::from_slice(&body).expect("a lease is JSON");
     let driver = lease["holder"]["box_name"]
--- a/crates/ivyweird/tests/billing.rs
+++ b/crates/ivyweird/tests/billing.rs
@@ -29,7 +29,7 @@
     chat(&world, 0, 20);
     world.kill_box(0);
     world.platform.deregister_box("box-1");
-    let flushed = world.platform.peek_all("bill/").len();
+    let flushed = world.platform.objects_with_prefix("bill/").len();
     assert_eq!(flushed, 0, "nothing was flushed before");
     // Its replica has the records, and writes them when it stops.
     for at in [1, 2] {
@@ -42,7 +42,7 @@
     }
     let total: usize = world
         .platform
-        .peek_all("bill/")
+        .objects_with_prefix("bill/")
         .iter()
         .map(|body| serde_json::from_slice::<Segment>(body).unwrap())
         .map(|segment| segment.records.len())
@@ -106,7 +106,7 @@
         assert!(caller.chat("notes", "episode 7", 4).complete);
     }
     let records = || -> usize {
-        let bodies = world.platform.peek_all("bill/");
+        let bodies = world.platform.objects_with_prefix("bill/");
         let segments = bodies
             .iter()
             .map(|body| serde_json::from_slice::<Segment>(body));
@@ -132,7 +132,7 @@
             .restore(&format!("bill/old-1/old-{n:010}"), segment(n));
     }
     wait_until("segments are merged", || {
-        world.platform.peek_all("bill/").len() < 100
+        world.platform.objects_with_prefix("bill/").len() < 100
     });
     let bill = world.operator(0).bill().expect("the bill can be read");
     let total = bill.workspaces["studio"];
--- a/crates/ivyweird/tests/config.rs
+++ b/crates/ivyweird/tests/config.rs
@@ -107,12 +107,12 @@
 #[test]
 fn a_store_that_is_set_back_does_not_set_boxes_back() {
     let world = three();
-    let old = world.platform.peek("config").expect("there is one");
+    let old = world.platform.object("config").expect("there is one");
     let generation = world.apply_intent(0, &Intent::Withdraw { at: at("notes@v2") });
     world.wait_for_generation(generation);
     world.platform.restore("config", old);
     wait_until("the store is repaired", || {
-        let body = world.platform.peek("config").expect("there is one");
+        let body = world.platform.object("config").expect("there is one");
         Config::from_slice(&body).is_ok_and(|c| c.generation >= generation)
     });
     assert!(generations(&world).iter().all(|g| *g >= generation));
--- a/crates/ivyweird/tests/random.rs
+++ b/crates/ivyweird/tests/random.rs
@@ -355,7 +355,7 @@
     let whole = told.whole.lock().expect("no panic with the lock");
     let billed = || {
         let mut keys: HashMap<String, usize> = HashMap::new();
-        for body in world.platform.peek_all("bill/") {
+        for body in world.platform.objects_with_prefix("bill/") {
             let segment: ivyweir_policy::billing::Segment =
                 serde_json::from_slice(&body).expect("a segment");
             for record in segment.records {
