--- a/crates/ivyweir-standins/examples/demo.rs
+++ b/crates/ivyweir-standins/examples/demo.rs
@@ -9,7 +9,9 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::{Guard, Intent, VersionRef};
-use ivyweir_standins::cluster::{OPERATOR_KEY, SERVICES, epoch_ms, quick_engine, workspace_key};
+use ivyweir_standins::cluster::{
+    OPERATOR_KEY, SERVICES, epoch_ms, fast_engine_options, workspace_key,
+};
 use ivyweir_standins::{Cluster, ClusterSpec, Outcome, build_binaries, wait_until};
 use serde_json::json;
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -76,7 +78,8 @@
 
 fn start(binary: &std::path::Path) -> Result<Cluster, Failure> {
     println!("starting {BOXES} boxes in 4 halls before 6 engines and a plain service …");
-    let engine = || quick_engine(&[("notes@v1", 0.85), ("notes@v2", 0.95), ("tags@v1", 0.35)]);
+    let engine =
+        || fast_engine_options(&[("notes@v1", 0.85), ("notes@v2", 0.95), ("tags@v1", 0.35)]);
     let halls = ["hall-a", "hall-b", "hall-c", "hall-d"];
     let world = ClusterSpec::new(binary, &halls, (0..6).map(|_| engine()).collect()).start()?;
     let versions = [
--- a/crates/ivyweir-standins/examples/load/overhead.rs
+++ b/crates/ivyweir-standins/examples/load/overhead.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use ivyweir_standins::cluster::quick_engine;
+use ivyweir_standins::cluster::fast_engine_options;
 use ivyweir_standins::{Caller, ClusterSpec};
 
 use crate::{Args, report};
@@ -51,7 +51,9 @@
 /// Compares, and prints the differences of percentiles.
 pub fn run(args: &Args, binary: &Path) -> Result<(), Failure> {
     let halls = ["hall-a", "hall-b", "hall-c"];
-    let engines = (0..4).map(|_| quick_engine(&[("notes@v1", 0.9)])).collect();
+    let engines = (0..4)
+        .map(|_| fast_engine_options(&[("notes@v1", 0.9)]))
+        .collect();
     let world = ClusterSpec::new(binary, &halls, engines).start()?;
     world.configure(&[("notes@v1", 1_000, 0.9)], &[("studio", 0.5, 1)]);
     let rounds = args.seconds * 40;
--- a/crates/ivyweir-standins/examples/load/recover.rs
+++ b/crates/ivyweir-standins/examples/load/recover.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::Intent;
-use ivyweir_standins::cluster::quick_engine;
+use ivyweir_standins::cluster::fast_engine_options;
 use ivyweir_standins::{CallCount, Cluster, ClusterSpec, PlatformFaults};
 
 use crate::Args;
@@ -23,7 +23,9 @@
 
 /// Measures and prints.
 pub fn run(args: &Args, binary: &Path) -> Result<(), Failure> {
-    let engines = (0..6).map(|_| quick_engine(&[("notes@v1", 0.9)])).collect();
+    let engines = (0..6)
+        .map(|_| fast_engine_options(&[("notes@v1", 0.9)]))
+        .collect();
     let mut world = ClusterSpec::new(binary, &HALLS, engines).start()?;
     world.configure(&[("notes@v1", 1_000, 0.9)], &[("studio", 0.5, 1)]);
     thread::sleep(Duration::from_secs(3));
--- a/crates/ivyweir-standins/examples/load/size.rs
+++ b/crates/ivyweir-standins/examples/load/size.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::Intent;
-use ivyweir_standins::cluster::quick_engine;
+use ivyweir_standins::cluster::fast_engine_options;
 use ivyweir_standins::{BoxProcess, Cluster, ClusterSpec};
 
 use crate::Args;
@@ -41,7 +41,7 @@
     let halls: Vec<&'static str> = (0..boxes).map(|at| HALLS[at % HALLS.len()]).collect();
     let upstreams = boxes * 2;
     let engines = (0..upstreams)
-        .map(|_| quick_engine(&[("notes@v1", 0.9), ("tags@v1", 0.5)]))
+        .map(|_| fast_engine_options(&[("notes@v1", 0.9), ("tags@v1", 0.5)]))
         .collect();
     let world = ClusterSpec::new(binary, &halls, engines).start()?;
     world.configure(
--- a/crates/ivyweir-standins/src/cluster.rs
+++ b/crates/ivyweir-standins/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole world on loopback: stand-ins in this process and boxes as processes of their own.
+//! A complete test cluster on loopback: the fakes run in this process, each box runs in its own process.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,38 +15,38 @@
     Rating, Service, Settings, wait_until,
 };
 
-/// The first operator's key in every world.
+/// Key of the first operator in every cluster.
 pub const OPERATOR_KEY: &str = "operator-key-of-the-stand-in-world";
-/// The key that boxes share in every world.
+/// Key that the boxes of every cluster share.
 const FLEET_KEY_HEX: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
-/// Pool of the engines.
+/// Name of the pool of the engines.
 pub const ENGINES: &str = "engines";
-/// Pool of the plain services.
+/// Name of the pool of the echo services.
 pub const SERVICES: &str = "activation";
 
-/// What a world is made of.
+/// Configuration of a [`Cluster`].
 pub struct ClusterSpec {
     /// The `ivyweird` binary.
     pub binary: PathBuf,
-    /// Halls of the boxes, one box each.
+    /// Hall of each box.
     pub box_halls: Vec<&'static str>,
-    /// The engines, in halls in turn.
+    /// Configuration of each engine; the engines are assigned to the halls round-robin.
     pub engines: Vec<EngineOptions>,
-    /// Number of plain services.
+    /// Number of echo services.
     pub services: usize,
-    /// Limits of the platform.
+    /// Rate limits of the platform.
     pub platform: PlatformOptions,
-    /// The boxes' `policy` settings.
+    /// The `policy` settings of the boxes.
     pub policy: Option<serde_json::Value>,
-    /// The boxes' `limits` settings.
+    /// The `limits` settings of the boxes.
     pub limits: Option<serde_json::Value>,
-    /// Whether boxes reach the platform through gateways of their own.
+    /// Whether each box reaches the platform through its own fault proxy.
     pub platform_proxies: bool,
-    /// Whether peers reach boxes through gateways.
+    /// Whether peers reach each box through a fault proxy.
     pub peer_proxies: bool,
 }
 
-/// A running world.
+/// A running cluster.
 pub struct Cluster {
     /// The platform.
     pub platform: Platform,
@@ -54,15 +54,15 @@
     pub rating: Rating,
     /// The engines.
     pub engines: Vec<Engine>,
-    /// The plain services.
+    /// The echo services.
     pub services: Vec<Service>,
-    /// The boxes; a place is empty while its box is down.
+    /// The box processes; `None` while a box is down.
     pub boxes: Vec<Option<BoxProcess>>,
-    /// What the boxes are started with.
+    /// Configuration of each box process.
     pub specs: Vec<BoxSpec>,
-    /// Between each box and the platform.
+    /// Proxies between each box and the platform.
     pub platform_proxies: Vec<FaultProxy>,
-    /// Before the peer address of each box.
+    /// Proxies in front of the peer address of each box.
     pub peer_proxies: Vec<FaultProxy>,
     folder: PathBuf,
 }
@@ -71,19 +71,19 @@
     fn drop(&mut self) {
         self.boxes.clear();
         if !std::thread::panicking() {
-            let _left_behind = std::fs::remove_dir_all(&self.folder);
+            let _remove_result = std::fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-/// Milliseconds since the epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub fn epoch_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.unwrap_or_default().as_millis() as u64
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.unwrap_or_default().as_millis() as u64
 }
 
 impl ClusterSpec {
-    /// A world of boxes in these halls before `engines` engines of one kind and one service.
+    /// Creates a configuration with one box per hall, the given engines and one echo service.
     pub fn new(
         binary: impl Into<PathBuf>,
         box_halls: &[&'static str],
@@ -102,19 +102,19 @@
         }
     }
 
-    /// Starts the world and waits until every box is ready.
+    /// Starts the cluster and waits until every box is ready.
     ///
     /// # Errors
     ///
-    /// When a port cannot be bound or a process not be started.
+    /// Returns an error if a port cannot be bound or a process cannot be started.
     pub fn start(self) -> io::Result<Cluster> {
         let platform = Platform::start(self.platform)?;
         let rating = Rating::start()?;
         let halls: Vec<&str> = self.box_halls.clone();
-        let engines = list_engines(&platform, &halls, &self.engines)?;
-        let services = list_services(&platform, &halls, self.services)?;
-        let unique = format!("ivyweir-{}", platform.addr().replace([':', '.'], "-"));
-        let mut world = Cluster {
+        let engines = start_engines(&platform, &halls, &self.engines)?;
+        let services = start_services(&platform, &halls, self.services)?;
+        let folder_name = format!("ivyweir-{}", platform.addr().replace([':', '.'], "-"));
+        let mut cluster = Cluster {
             platform,
             rating,
             engines,
@@ -123,20 +123,20 @@
             specs: Vec::new(),
             platform_proxies: Vec::new(),
             peer_proxies: Vec::new(),
-            folder: std::env::temp_dir().join(unique),
+            folder: std::env::temp_dir().join(folder_name),
         };
-        for (at, hall) in self.box_halls.iter().enumerate() {
-            world.add_box(&self, at, hall)?;
+        for (index, hall) in self.box_halls.iter().enumerate() {
+            cluster.prepare_box(&self, index, hall)?;
         }
-        for at in 0..world.specs.len() {
-            world.start_box(at)?;
+        for index in 0..cluster.specs.len() {
+            cluster.start_box(index)?;
         }
-        world.wait_ready();
-        Ok(world)
+        cluster.wait_ready();
+        Ok(cluster)
     }
 }
 
-fn list_engines(
+fn start_engines(
     platform: &Platform,
     halls: &[&str],
     options: &[EngineOptions],
@@ -144,7 +144,7 @@
     let mut engines = Vec::new();
     for (at, options) in options.iter().enumerate() {
         let engine = Engine::start(options.clone())?;
-        platform.register_box(upstream(
+        platform.register_box(upstream_entry(
             &format!("engine-{at:02}"),
             &engine.addr(),
             halls,
@@ -156,11 +156,11 @@
     Ok(engines)
 }
 
-fn list_services(platform: &Platform, halls: &[&str], count: usize) -> io::Result<Vec<Service>> {
+fn start_services(platform: &Platform, halls: &[&str], count: usize) -> io::Result<Vec<Service>> {
     let mut services = Vec::new();
     for at in 0..count {
         let service = Service::start()?;
-        platform.register_box(upstream(
+        platform.register_box(upstream_entry(
             &format!("service-{at}"),
             &service.addr(),
             halls,
@@ -172,33 +172,33 @@
     Ok(services)
 }
 
-fn upstream(name: &str, addr: &str, halls: &[&str], at: usize, pool: &str) -> BoxEntry {
+fn upstream_entry(name: &str, addr: &str, halls: &[&str], index: usize, pool: &str) -> BoxEntry {
     BoxEntry {
         name: name.into(),
         kind: BoxKind::Upstream,
         addr: addr.into(),
-        hall: halls[at % halls.len()].into(),
+        hall: halls[index % halls.len()].into(),
         pool: pool.into(),
         state: BoxState::Live,
     }
 }
 
 impl Cluster {
-    fn add_box(&mut self, spec: &ClusterSpec, at: usize, hall: &str) -> io::Result<()> {
-        let name = format!("box-{}", at + 1);
-        let any_port = || "127.0.0.1:0".to_owned();
+    fn prepare_box(&mut self, spec: &ClusterSpec, index: usize, hall: &str) -> io::Result<()> {
+        let name = format!("box-{}", index + 1);
+        let free_port_addr = || "127.0.0.1:0".to_owned();
         let mut platform_url = self.platform.base_url();
         if spec.platform_proxies {
-            let gateway = FaultProxy::start(&self.platform.addr())?;
-            platform_url = format!("http://{}", gateway.addr());
-            self.platform_proxies.push(gateway);
+            let proxy = FaultProxy::start(&self.platform.addr())?;
+            platform_url = format!("http://{}", proxy.addr());
+            self.platform_proxies.push(proxy);
         }
         let settings = Settings {
             box_name: name.clone(),
             hall: hall.to_owned(),
-            caller_addr: any_port(),
-            operator_addr: any_port(),
-            peer_addr: any_port(),
+            caller_addr: free_port_addr(),
+            operator_addr: free_port_addr(),
+            peer_addr: free_port_addr(),
             platform_url,
             rating_url: Some(self.rating.base_url()),
             fleet_key_hex: FLEET_KEY_HEX.to_owned(),
@@ -210,10 +210,10 @@
         };
         let mut settings = settings;
         if spec.peer_proxies {
-            // Its target is set when the box says where it listens.
-            let gateway = FaultProxy::start("127.0.0.1:1")?;
-            settings.advertised_peer_addr = Some(gateway.addr());
-            self.peer_proxies.push(gateway);
+            // Port 1 is a placeholder; the target is set once the box has logged its listen addresses.
+            let proxy = FaultProxy::start("127.0.0.1:1")?;
+            settings.advertised_peer_addr = Some(proxy.addr());
+            self.peer_proxies.push(proxy);
         }
         self.specs.push(BoxSpec {
             binary: spec.binary.clone(),
@@ -225,13 +225,13 @@
         Ok(())
     }
 
-    /// Puts a box that is up on the platform's list, at the address where peers reach it.
-    fn list_entry(&self, at: usize) {
-        let settings = &self.running_box(at).settings;
+    /// Adds a running box to the platform's box list under the address that peers connect to.
+    fn register_running_box(&self, index: usize) {
+        let settings = &self.running_box(index).settings;
         let mut addr = settings.peer_addr.clone();
-        if let Some(gateway) = self.peer_proxies.get(at) {
-            gateway.set_target(&addr);
-            addr = gateway.addr();
+        if let Some(proxy) = self.peer_proxies.get(index) {
+            proxy.set_target(&addr);
+            addr = proxy.addr();
         }
         self.platform.register_box(BoxEntry {
             name: settings.box_name.as_str().into(),
@@ -243,70 +243,80 @@
         });
     }
 
-    /// Starts a box that is down.
+    /// Starts a box and adds it to the platform's box list.
     ///
     /// # Errors
     ///
-    /// When the process cannot be started.
-    pub fn start_box(&mut self, at: usize) -> io::Result<()> {
-        self.boxes[at] = Some(self.specs[at].start()?);
-        self.list_entry(at);
+    /// Returns an error if the process cannot be started.
+    pub fn start_box(&mut self, index: usize) -> io::Result<()> {
+        self.boxes[index] = Some(self.specs[index].start()?);
+        self.register_running_box(index);
         Ok(())
     }
 
-    /// Kills a box at once.
-    pub fn kill_box(&mut self, at: usize) {
-        if let Some(mut process) = self.boxes[at].take() {
+    /// Kills a box with `SIGKILL`.
+    pub fn kill_box(&mut self, index: usize) {
+        if let Some(mut process) = self.boxes[index].take() {
             process.kill();
         }
     }
 
-    /// A box that is up.
-    pub fn running_box(&self, at: usize) -> &BoxProcess {
-        self.boxes[at].as_ref().expect("the box is up")
+    /// Returns the process of a running box.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the box is down.
+    pub fn running_box(&self, index: usize) -> &BoxProcess {
+        self.boxes[index].as_ref().expect("box is not running")
     }
 
-    /// Waits until every box that is up is ready and hears all others.
+    /// Waits until every running box is ready, sees all other running boxes as alive and knows as many
+    /// upstreams as there are engines.
     pub fn wait_ready(&self) {
         let up: Vec<&BoxProcess> = self.boxes.iter().flatten().collect();
         for process in &up {
-            wait_until(&format!("{} is ready", process.settings.box_name), || {
-                process.is_ready()
-            });
+            wait_until(
+                &format!("{} to be ready", process.settings.box_name),
+                || process.is_ready(),
+            );
         }
         for process in &up {
             let client = Client::new(process.operator_url(), OPERATOR_KEY);
-            let hears_all = || {
+            let sees_all = || {
                 client.status().is_ok_and(|s| {
                     let alive = s.boxes.iter().filter(|b| b.health == "alive").count();
                     alive >= up.len() && s.upstreams.len() >= self.engines.len()
                 })
             };
             wait_until(
-                &format!("{} hears all", process.settings.box_name),
-                hears_all,
+                &format!("{} to see all boxes and engines", process.settings.box_name),
+                sees_all,
             );
         }
     }
 
-    /// The first operator, at a box.
-    pub fn operator(&self, at: usize) -> Client {
-        Client::new(self.running_box(at).operator_url(), OPERATOR_KEY)
+    /// Returns a client of the first operator at a box.
+    pub fn operator(&self, index: usize) -> Client {
+        Client::new(self.running_box(index).operator_url(), OPERATOR_KEY)
     }
 
-    /// A caller of a workspace, at a box.
-    pub fn caller(&self, at: usize, workspace: &str) -> Caller {
+    /// Returns a client of a workspace at a box.
+    pub fn caller(&self, index: usize, workspace: &str) -> Caller {
         Caller::new(
-            &self.running_box(at).caller_url(),
+            &self.running_box(index).caller_url(),
             &workspace_key(workspace),
         )
     }
 
-    /// Plans and confirms an intent at a box, until it is accepted.
-    pub fn apply_intent(&self, at: usize, intent: &Intent) -> u64 {
-        let operator = self.operator(at);
-        let mut plan = operator.plan(intent).expect("the intent fits");
-        for _ in 0..CONFIRM_TRIES {
+    /// Plans and confirms an intent at a box and returns the resulting generation.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the intent cannot be planned or the plan is not applied within 50 attempts.
+    pub fn apply_intent(&self, index: usize, intent: &Intent) -> u64 {
+        let operator = self.operator(index);
+        let mut plan = operator.plan(intent).expect("failed to plan the intent");
+        for _ in 0..MAX_CONFIRM_ATTEMPTS {
             match operator.confirm(&plan) {
                 Ok(ConfirmReply::Applied { generation, .. })
                 | Ok(ConfirmReply::AlreadyApplied { generation }) => return generation,
@@ -316,22 +326,25 @@
                 }
             }
         }
-        panic!("the plan was not accepted: {plan:?}");
+        panic!("plan not applied after {MAX_CONFIRM_ATTEMPTS} attempts: {plan:?}");
     }
 
-    /// Waits until a generation is in force on every box that is up.
+    /// Waits until every running box has applied a configuration generation.
     pub fn wait_for_generation(&self, generation: u64) {
         for process in self.boxes.iter().flatten() {
             let client = Client::new(process.operator_url(), OPERATOR_KEY);
-            let in_force = || client.status().is_ok_and(|s| s.generation >= generation);
+            let is_applied = || client.status().is_ok_and(|s| s.generation >= generation);
             wait_until(
-                &format!("generation {generation} at {}", process.settings.box_name),
-                in_force,
+                &format!(
+                    "generation {generation} to be applied at {}",
+                    process.settings.box_name
+                ),
+                is_applied,
             );
         }
     }
 
-    /// Adds pools, versions and workspaces, and waits until they are in force.
+    /// Adds pools, versions and workspaces, and waits until every running box has applied them.
     pub fn configure(&self, versions: &[(&str, u64, f64)], workspaces: &[(&str, f64, u32)]) {
         let pool = |kind| Pool {
             kind,
@@ -352,7 +365,7 @@
             },
         );
         for (at, cost_micro_per_ktoken, prior_quality) in versions {
-            let at: VersionRef = at.parse().expect("versions are written model@version");
+            let at: VersionRef = at.parse().expect("version has the form model@version");
             self.apply_intent(
                 0,
                 &Intent::AddVersion {
@@ -364,7 +377,7 @@
         }
         let allowed: Vec<VersionRef> = versions
             .iter()
-            .map(|(at, ..)| at.parse().expect("as above"))
+            .map(|(at, ..)| at.parse().expect("version has the form model@version"))
             .collect();
         let mut generation = 0;
         for (name, quality_target, weight) in workspaces {
@@ -381,26 +394,26 @@
         self.wait_for_generation(generation);
     }
 
-    /// The settings files and logs.
+    /// Returns the folder of the settings files and logs.
     pub fn folder(&self) -> &PathBuf {
         &self.folder
     }
 }
 
-const CONFIRM_TRIES: usize = 50;
+const MAX_CONFIRM_ATTEMPTS: usize = 50;
 
-/// The caller key of a workspace in every world.
+/// Returns the caller key of a workspace.
 pub fn workspace_key(workspace: &str) -> String {
     format!("caller-key-of-{workspace}")
 }
 
-/// The hash of a key, as the configuration keeps it.
+/// Returns the hash of a key in the form that the configuration stores.
 pub fn hash_hex(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-/// Engine options for tests: quick, with these versions.
-pub fn quick_engine(versions: &[(&str, f64)]) -> EngineOptions {
+/// Returns options of a fast engine with the given versions, each with its skill.
+pub fn fast_engine_options(versions: &[(&str, f64)]) -> EngineOptions {
     let versions: BTreeMap<String, crate::Behaviour> = versions
         .iter()
         .map(|(at, skill)| ((*at).to_owned(), crate::Behaviour::good(*skill)))
--- a/crates/ivyweir-standins/src/fault_proxy.rs
+++ b/crates/ivyweir-standins/src/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP gateway that injects faults between two processes.
+//! A TCP proxy that injects network faults between two processes.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,29 +8,29 @@
 
 use crate::loopback::unique_ip;
 
-const STACK_BYTES: usize = 64 << 10;
-const PIECE_BYTES: usize = 16 << 10;
-const POLL: Duration = Duration::from_millis(5);
+const THREAD_STACK_BYTES: usize = 64 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the gateway does to connections, new and open.
+/// A fault that the proxy injects into new and open connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Each piece waits this long, in both directions.
+    /// Each chunk is delayed by this many milliseconds, in both directions.
     DelayMs(u64),
-    /// Connections are closed.
+    /// Open connections are closed, and new ones are closed on accept.
     Cut,
-    /// Connections stay open and carry nothing.
+    /// Connections stay open but transfer no data.
     HalfOpen,
-    /// What the target sends is lost.
+    /// Data sent by the target is discarded.
     LoseAnswers,
-    /// The target's answers end after so many bytes of each connection.
+    /// Each connection is closed after the target has sent this many bytes.
     TruncateAfter(usize),
 }
 
-/// A running gateway.
+/// A running proxy.
 pub struct FaultProxy {
     addr: SocketAddr,
     fault: Arc<Mutex<Fault>>,
@@ -38,21 +38,23 @@
 }
 
 impl FaultProxy {
-    /// Starts a gateway to `target` on a free port.
+    /// Starts a proxy to `target` on a free port of 127.0.0.1.
     ///
     /// # Errors
     ///
-    /// When no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start(target: &str) -> io::Result<Self> {
         Self::start_on(Ipv4Addr::LOCALHOST, target)
     }
 
-    /// Starts a gateway to `target` on a free port of an address that no box or other test has: nobody who calls a
-    /// process that ended finds it there.
+    /// Starts a proxy to `target` on a free port of a loopback address that boxes and other tests do not use.
+    ///
+    /// On 127.0.0.1 the proxy could be assigned the port of a process that has exited, and would then receive
+    /// requests from clients that still call that process.
     ///
     /// # Errors
     ///
-    /// When no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start_on_unique_ip(target: &str) -> io::Result<Self> {
         Self::start_on(unique_ip(), target)
     }
@@ -64,11 +66,11 @@
         let target = Arc::new(Mutex::new(target.to_owned()));
         let shared = fault.clone();
         let shared_target = target.clone();
-        spawn(move || {
+        spawn_thread(move || {
             for client in listener.incoming().flatten() {
                 let fault = shared.clone();
                 let target = lock(&shared_target).clone();
-                spawn(move || connect(client, &target, &fault));
+                spawn_thread(move || proxy_connection(client, &target, &fault));
             }
         });
         Ok(Self {
@@ -78,39 +80,39 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the socket address that the proxy listens on.
     pub fn addr(&self) -> String {
         self.addr.to_string()
     }
 
-    /// Sets what it does.
+    /// Sets the injected fault.
     pub fn set(&self, fault: Fault) {
         *lock(&self.fault) = fault;
     }
 
-    /// Sets where new connections go.
+    /// Sets the target address of new connections.
     pub fn set_target(&self, target: &str) {
         target.clone_into(&mut lock(&self.target));
     }
 }
 
-fn spawn(run: impl FnOnce() + Send + 'static) {
+fn spawn_thread(run: impl FnOnce() + Send + 'static) {
     thread::Builder::new()
-        .stack_size(STACK_BYTES)
+        .stack_size(THREAD_STACK_BYTES)
         .spawn(run)
-        .expect("threads can be made");
+        .expect("failed to spawn a proxy thread");
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no thread panics with the lock")
+    mutex.lock().expect("mutex is not poisoned")
 }
 
-fn current(fault: &Mutex<Fault>) -> Fault {
+fn current_fault(fault: &Mutex<Fault>) -> Fault {
     *lock(fault)
 }
 
-fn connect(client: TcpStream, target: &str, fault: &Arc<Mutex<Fault>>) {
-    if current(fault) == Fault::Cut {
+fn proxy_connection(client: TcpStream, target: &str, fault: &Arc<Mutex<Fault>>) {
+    if current_fault(fault) == Fault::Cut {
         return;
     }
     let Ok(server) = TcpStream::connect(target) else {
@@ -119,27 +121,27 @@
     let (Ok(client_in), Ok(server_in)) = (client.try_clone(), server.try_clone()) else {
         return;
     };
-    let towards = fault.clone();
-    spawn(move || carry(client_in, server, &towards, false));
-    carry(server_in, client, fault, true);
+    let request_fault = fault.clone();
+    spawn_thread(move || forward(client_in, server, &request_fault, false));
+    forward(server_in, client, fault, true);
 }
 
-/// Carries bytes one way until an end, a cut or a truncation.
-fn carry(mut from: TcpStream, mut to: TcpStream, fault: &Mutex<Fault>, is_answer: bool) {
-    let _no_delay = to.set_nodelay(true);
-    let _poll = from.set_read_timeout(Some(POLL));
-    let mut piece = vec![0; PIECE_BYTES];
-    let mut carried = 0;
+/// Copies data in one direction until the connection ends or a fault closes it.
+fn forward(mut from: TcpStream, mut to: TcpStream, fault: &Mutex<Fault>, is_response: bool) {
+    let _nodelay_result = to.set_nodelay(true);
+    let _timeout_result = from.set_read_timeout(Some(POLL_INTERVAL));
+    let mut buffer = vec![0; BUFFER_BYTES];
+    let mut forwarded = 0;
     loop {
-        let fault_now = current(fault);
-        if fault_now == Fault::Cut {
+        let active_fault = current_fault(fault);
+        if active_fault == Fault::Cut {
             break;
         }
-        if fault_now == Fault::HalfOpen {
-            thread::sleep(POLL);
+        if active_fault == Fault::HalfOpen {
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let read = match from.read(&mut piece) {
+        let read = match from.read(&mut buffer) {
             Ok(0) => break,
             Ok(read) => read,
             Err(e)
@@ -152,20 +154,20 @@
             }
             Err(_) => break,
         };
-        let mut keep = read;
-        match current(fault) {
+        let mut forward_len = read;
+        match current_fault(fault) {
             Fault::DelayMs(ms) => thread::sleep(Duration::from_millis(ms)),
-            Fault::LoseAnswers if is_answer => continue,
-            Fault::TruncateAfter(limit) if is_answer => {
-                keep = read.min(limit.saturating_sub(carried))
+            Fault::LoseAnswers if is_response => continue,
+            Fault::TruncateAfter(limit) if is_response => {
+                forward_len = read.min(limit.saturating_sub(forwarded))
             }
             _ => {}
         }
-        carried += keep;
-        if to.write_all(&piece[..keep]).is_err() || keep < read {
+        forwarded += forward_len;
+        if to.write_all(&buffer[..forward_len]).is_err() || forward_len < read {
             break;
         }
     }
-    let _closed = from.shutdown(Shutdown::Both);
-    let _closed = to.shutdown(Shutdown::Both);
+    let _shutdown_result = from.shutdown(Shutdown::Both);
+    let _shutdown_result = to.shutdown(Shutdown::Both);
 }
--- a/crates/ivyweir-standins/src/platform.rs
+++ b/crates/ivyweir-standins/src/platform.rs
@@ -231,7 +231,7 @@
         let mut state = self.lock();
         loop {
             if state.faults.down {
-                return Reply::text(503, "platform is down");
+                return Reply::text(503, "out");
             }
             match state.objects.get(name) {
                 Some(o) if o.revision != after_revision => return object_response(o),
@@ -349,9 +349,9 @@
         };
         thread::sleep(Duration::from_millis(faults.delay_ms));
         if faults.down {
-            return Some(Reply::text(503, "platform is down"));
+            return Some(Reply::text(503, "out"));
         }
-        (!allowed).then(|| Reply::text(429, "rate limit exceeded"))
+        (!allowed).then(|| Reply::text(429, "rate"))
     }
 
     fn respond(&self, incoming: &mut Incoming) -> Reply {
@@ -376,7 +376,7 @@
                 Some(precondition) => self.shared.write(name, &precondition, None),
                 None => Reply::text(400, "If-Match or If-None-Match: * is required"),
             },
-            _ => Reply::text(405, "method not allowed"),
+            _ => Reply::text(405, "method"),
         }
     }
 
--- a/crates/ivyweir-standins/src/rating.rs
+++ b/crates/ivyweir-standins/src/rating.rs
@@ -70,9 +70,7 @@
     fn handle(&self, mut incoming: Incoming) {
         self.shared.calls.fetch_add(1, Ordering::Relaxed);
         let reply = match read_json::<RatingRequest>(&mut incoming) {
-            _ if self.shared.down.load(Ordering::Relaxed) => {
-                Reply::text(503, "rating service is down")
-            }
+            _ if self.shared.down.load(Ordering::Relaxed) => Reply::text(503, "out"),
             None => Reply::text(400, "body is not a valid rating request"),
             Some(request) => {
                 let score = text::quality(&request.prompt, &request.answer).unwrap_or(0.0);
--- a/crates/ivyweird/tests/answers.rs
+++ b/crates/ivyweird/tests/answers.rs
@@ -7,7 +7,7 @@
 
 use common::{at, set_current, spec, start, three, wait_billed};
 use ivyweir_policy::{Guard, Intent};
-use ivyweir_standins::cluster::{epoch_ms, quick_engine};
+use ivyweir_standins::cluster::{epoch_ms, fast_engine_options};
 use ivyweir_standins::{Behaviour, Cluster, ClusterSpec, text, wait_until};
 use serde_json::json;
 
@@ -57,7 +57,8 @@
 #[test]
 fn a_stream_whose_engine_dies_goes_on_at_another() {
     let slow = || {
-        let mut options = quick_engine(&[("notes@v1", 0.9), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
+        let mut options =
+            fast_engine_options(&[("notes@v1", 0.9), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
         options.speed.step_us = 10_000;
         options
     };
@@ -316,7 +317,7 @@
 
 #[test]
 fn upstreams_that_die_do_not_condemn_the_versions_they_had() {
-    let engine = || quick_engine(&[("notes@v1", 0.9), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
+    let engine = || fast_engine_options(&[("notes@v1", 0.9), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
     let world = start(ClusterSpec {
         engines: (0..6).map(|_| engine()).collect(),
         ..spec(&["hall-a", "hall-b", "hall-c"])
--- a/crates/ivyweird/tests/common/mod.rs
+++ b/crates/ivyweird/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use ivyweir_operator::Client;
 use ivyweir_policy::{Intent, VersionRef};
-use ivyweir_standins::cluster::{Cluster, ClusterSpec, quick_engine};
+use ivyweir_standins::cluster::{Cluster, ClusterSpec, fast_engine_options};
 use ivyweir_standins::wait_until;
 
 /// The daemon under test.
@@ -20,7 +20,7 @@
 
 /// A world of boxes in these halls before two engines, not yet started.
 pub fn spec(halls: &[&'static str]) -> ClusterSpec {
-    let engine = || quick_engine(&[("notes@v1", 0.9), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
+    let engine = || fast_engine_options(&[("notes@v1", 0.9), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
     ClusterSpec::new(BINARY, halls, vec![engine(), engine()])
 }
 
--- a/crates/ivyweird/tests/path.rs
+++ b/crates/ivyweird/tests/path.rs
@@ -1,13 +1,15 @@
 //! The whole path: callers, boxes, engines, services and the bill.
 
 use attohttpc::Method;
-use ivyweir_standins::cluster::{Cluster, ClusterSpec, SERVICES, quick_engine, workspace_key};
+use ivyweir_standins::cluster::{
+    Cluster, ClusterSpec, SERVICES, fast_engine_options, workspace_key,
+};
 use ivyweir_standins::{Caller, wait_until};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
 
 fn world(halls: &[&'static str]) -> Cluster {
-    let engine = || quick_engine(&[("notes@v1", 0.8), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
+    let engine = || fast_engine_options(&[("notes@v1", 0.8), ("notes@v2", 0.9), ("tags@v1", 0.4)]);
     let world = ClusterSpec::new(BINARY, halls, vec![engine(), engine()])
         .start()
         .expect("the world starts");
