--- a/crates/ivyweir-standins/examples/load/scenario.rs
+++ b/crates/ivyweir-standins/examples/load/scenario.rs
@@ -241,7 +241,7 @@
             for engine in &world.engines {
                 let bad = Behaviour {
                     skill: 0.0,
-                    truncate: 0.4,
+                    truncate_rate: 0.4,
                     ..Behaviour::good(0.0)
                 };
                 engine.set_behaviour("large@v1", bad);
--- a/crates/ivyweir-standins/src/engine.rs
+++ b/crates/ivyweir-standins/src/engine.rs
@@ -24,11 +24,11 @@
     /// Prompt difficulty, 0 to 1, up to which the version tends to answer well.
     pub skill: f64,
     /// Rate of responses with status 500.
-    pub fail: f64,
+    pub fail_rate: f64,
     /// Rate of responses that are truncated off half way.
-    pub truncate: f64,
+    pub truncate_rate: f64,
     /// Rate of responses that carry the id of another request.
-    pub mismatch: f64,
+    pub mismatch_rate: f64,
 }
 
 impl Behaviour {
@@ -36,9 +36,9 @@
     pub fn good(skill: f64) -> Self {
         Self {
             skill,
-            fail: 0.0,
-            truncate: 0.0,
-            mismatch: 0.0,
+            fail_rate: 0.0,
+            truncate_rate: 0.0,
+            mismatch_rate: 0.0,
         }
     }
 }
@@ -284,7 +284,7 @@
             user: text_field(request, "user"),
             at: shared.started.elapsed(),
         });
-        if shared.random_unit(b"fail") < behaviour.fail {
+        if shared.random_unit(b"fail") < behaviour.fail_rate {
             return Err(Reply::text(500, "injected engine failure"));
         }
         let (prompt, sent) = split_continuation(request);
@@ -293,7 +293,7 @@
             .map_or(DEFAULT_MAX_TOKENS, |n| n as usize);
         let skip = sent.split_inclusive(' ').count();
         let tokens = (requested_tokens + skip).max(2);
-        let mismatched = shared.random_unit(b"mismatch") < behaviour.mismatch;
+        let mismatched = shared.random_unit(b"mismatch") < behaviour.mismatch_rate;
         let effective_prompt = if mismatched {
             "another prompt"
         } else {
@@ -301,7 +301,7 @@
         };
         let draft = text::draft(effective_prompt, &version, behaviour.skill, tokens);
         let words_left = draft.words.len().saturating_sub(skip).max(1);
-        let truncated = shared.random_unit(b"truncate") < behaviour.truncate;
+        let truncated = shared.random_unit(b"truncate") < behaviour.truncate_rate;
         let priority = request
             .body
             .get("priority")
@@ -439,13 +439,13 @@
 ///
 /// # Panics
 ///
-/// Panics with `what` if the condition does not hold within 60 s.
-pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+/// Panics with `description` if the condition does not hold within 60 s.
+pub fn wait_until(description: &str, condition: impl Fn() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(60);
     while !condition() {
         assert!(
             Instant::now() < deadline,
-            "timed out after 60 s waiting for: {what}"
+            "timed out after 60 s waiting for: {description}"
         );
         thread::sleep(Duration::from_millis(10));
     }
--- a/crates/ivyweird/tests/answers.rs
+++ b/crates/ivyweird/tests/answers.rs
@@ -49,9 +49,9 @@
 }
 
 spoilt! {
-    truncated_answers_are_never_delivered_as_whole: truncate;
-    answers_to_other_requests_are_never_delivered: mismatch;
-    failed_answers_are_retried: fail;
+    truncated_answers_are_never_delivered_as_whole: truncate_rate;
+    answers_to_other_requests_are_never_delivered: mismatch_rate;
+    failed_answers_are_retried: fail_rate;
 }
 
 #[test]
@@ -280,7 +280,7 @@
         &world,
         "notes@v2",
         Behaviour {
-            truncate: 0.9,
+            truncate_rate: 0.9,
             ..Behaviour::good(0.9)
         },
     );
--- a/crates/ivyweird/tests/random.rs
+++ b/crates/ivyweird/tests/random.rs
@@ -243,9 +243,9 @@
         }
         9 => {
             let spoilt = Behaviour {
-                truncate: 0.2,
-                mismatch: 0.1,
-                fail: 0.1,
+                truncate_rate: 0.2,
+                mismatch_rate: 0.1,
+                fail_rate: 0.1,
                 ..Behaviour::good(0.9)
             };
             for engine in &world.engines {
