--- a/crates/ivyweir-standins/src/engine.rs
+++ b/crates/ivyweir-standins/src/engine.rs
@@ -238,7 +238,7 @@
                 Some(order) => self.shared.apply_order(order),
                 None => Reply::text(400, "body is not a valid order"),
             },
-            _ => Reply::text(404, "no such path"),
+            _ => Reply::text(404, "path not found"),
         };
         let _disconnected = incoming.reply(reply);
     }
--- a/crates/ivyweir-standins/src/fault_proxy.rs
+++ b/crates/ivyweir-standins/src/fault_proxy.rs
@@ -47,7 +47,8 @@
         Self::start_on(Ipv4Addr::LOCALHOST, target)
     }
 
-    /// Starts a proxy to `target` on a free port of a loopback address that boxes and other tests do not use.
+    /// Starts a proxy to `target` on a free port of a loopback address that boxes do not use and other test
+    /// processes are unlikely to use.
     ///
     /// On 127.0.0.1 the proxy could be assigned the port of a process that has exited, and would then receive
     /// requests from clients that still call that process.
