--- a/crates/ivyweir-standins/examples/demo.rs
+++ b/crates/ivyweir-standins/examples/demo.rs
@@ -10,8 +10,10 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::{Guard, Intent, VersionRef};
-use ivyweir_standins::world::{OPERATOR_KEY, SERVICES, epoch_ms, quick_engine, workspace_key};
-use ivyweir_standins::{Outcome, World, WorldSpec, build_binaries, wait_until};
+use ivyweir_standins::cluster::{
+    OPERATOR_KEY, SERVICES, epoch_ms, fast_engine_options, workspace_key,
+};
+use ivyweir_standins::{Cluster, ClusterSpec, Outcome, build_binaries, wait_until};
 use serde_json::json;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
@@ -75,18 +77,19 @@
 type Summary = String;
 type Step = (&'static str, fn(&mut Demo) -> Summary);
 
-fn start_world(binary: &std::path::Path) -> Result<World, DynError> {
+fn start_world(binary: &std::path::Path) -> Result<Cluster, DynError> {
     println!("starting {BOX_COUNT} boxes in 4 halls before 6 engines and a plain service …");
-    let engine = || quick_engine(&[("notes@v1", 0.85), ("notes@v2", 0.95), ("tags@v1", 0.35)]);
+    let engine =
+        || fast_engine_options(&[("notes@v1", 0.85), ("notes@v2", 0.95), ("tags@v1", 0.35)]);
     let halls = ["hall-a", "hall-b", "hall-c", "hall-d"];
-    let world = WorldSpec::new(binary, &halls, (0..6).map(|_| engine()).collect()).start()?;
+    let world = ClusterSpec::new(binary, &halls, (0..6).map(|_| engine()).collect()).start()?;
     let versions = [
         ("notes@v1", 4_000, 0.85),
         ("notes@v2", 4_000, 0.85),
         ("tags@v1", 500, 0.4),
     ];
     world.configure(&versions, &[("studio", 0.75, 2), ("network", 0.75, 1)]);
-    world.change(
+    world.apply_intent(
         0,
         &Intent::SetCurrent {
             at: "notes@v1".parse()?,
@@ -95,7 +98,7 @@
     Ok(world)
 }
 
-fn hold_until_interrupted(world: &World, interrupted: &AtomicBool) -> Result<(), DynError> {
+fn hold_until_interrupted(world: &Cluster, interrupted: &AtomicBool) -> Result<(), DynError> {
     let running_boxes = || world.boxes.iter().flatten();
     let endpoints = json!({
         "caller_urls": running_boxes().map(|b| b.caller_url()).collect::<Vec<_>>(),
@@ -113,7 +116,7 @@
 }
 
 struct Demo {
-    world: World,
+    world: Cluster,
     cli: std::path::PathBuf,
     interrupted: Arc<AtomicBool>,
 }
@@ -146,15 +149,15 @@
             steps: 4,
             guard: Guard::default(),
         };
-        let generation = self.world.change(1, &intent);
-        self.world.wait_in_force(generation);
+        let generation = self.world.apply_intent(1, &intent);
+        self.world.wait_for_generation(generation);
         let is_done = || {
             let status = self.world.operator(2).status();
             status.is_ok_and(|s| s.rollouts.iter().any(|r| r.state == "done"))
         };
         wait_until("the roll-out is done", is_done);
         self.world
-            .wait_in_force(self.world.operator(2).status().map_or(0, |s| s.generation));
+            .wait_for_generation(self.world.operator(2).status().map_or(0, |s| s.generation));
         let mut on_v2 = 0;
         const SESSIONS: usize = 40;
         for session_index in 0..SESSIONS {
@@ -189,7 +192,7 @@
                 let caller = self
                     .world
                     .caller(box_index, "network")
-                    .once("activate-sim-8");
+                    .at_most_once("activate-sim-8");
                 caller.service(attohttpc::Method::POST, &path, "{}")
             })
             .collect();
@@ -218,7 +221,7 @@
             .status()
             .expect("box returns its status")
             .generation;
-        self.world.wait_in_force(generation);
+        self.world.wait_for_generation(generation);
         let elapsed = confirmed_at.elapsed();
         for box_index in 0..BOX_COUNT {
             let rejected = self
@@ -252,7 +255,7 @@
     }
 
     fn replace_box(&mut self) -> Summary {
-        let pid = self.world.up(3).pid();
+        let pid = self.world.running_box(3).pid();
         self.world.kill_box(3);
         let operator = self.world.operator(0);
         let killed_at = Instant::now();
@@ -301,7 +304,7 @@
     fn cli(&self, args: &[&str]) -> String {
         let output = Command::new(&self.cli)
             .args(args)
-            .env("IVYWEIR_BOX", self.world.up(0).operator_url())
+            .env("IVYWEIR_BOX", self.world.running_box(0).operator_url())
             .env("IVYWEIR_KEY", OPERATOR_KEY)
             .output()
             .expect("CLI can be started");
@@ -313,7 +316,7 @@
 
 fn assert_complete(outcome: &Outcome) {
     assert!(
-        outcome.whole && outcome.text.ends_with("end."),
+        outcome.complete && outcome.text.ends_with("end."),
         "{outcome:?}"
     );
 }
--- a/crates/ivyweir-standins/examples/load/driver.rs
+++ b/crates/ivyweir-standins/examples/load/driver.rs
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use ivyweir_standins::cluster::{Cluster, workspace_key};
 use ivyweir_standins::text;
-use ivyweir_standins::world::{World, workspace_key};
 use ivyweir_standins::{Caller, Outcome};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -113,7 +113,7 @@
 }
 
 /// One caller per box and workspace, indexed by box first.
-pub fn callers(world: &World, workspace_count: usize) -> Vec<Vec<Caller>> {
+pub fn callers(world: &Cluster, workspace_count: usize) -> Vec<Vec<Caller>> {
     world
         .boxes
         .iter()
@@ -198,13 +198,13 @@
         let wait = request.offset.saturating_sub(started_at.elapsed());
         thread::sleep(wait);
         let caller = callers[request.box_index][request.workspace]
-            .with("X-Ivyweir-Deadline-Ms", &workload.deadline_ms.to_string());
+            .with_header("X-Ivyweir-Deadline-Ms", &workload.deadline_ms.to_string());
         let outcome = if request.stream {
             caller.stream(workload.model, &request.prompt, request.tokens)
         } else {
             caller.chat(workload.model, &request.prompt, request.tokens)
         };
-        let quality = text::quality(&request.prompt, &outcome.text).filter(|_| outcome.whole);
+        let quality = text::quality(&request.prompt, &outcome.text).filter(|_| outcome.complete);
         results
             .lock()
             .expect("worker thread does not panic")
--- a/crates/ivyweir-standins/examples/load/overhead.rs
+++ b/crates/ivyweir-standins/examples/load/overhead.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use ivyweir_standins::world::quick_engine;
-use ivyweir_standins::{Caller, WorldSpec};
+use ivyweir_standins::cluster::fast_engine_options;
+use ivyweir_standins::{Caller, ClusterSpec};
 
 use crate::{Args, report};
 
@@ -33,10 +33,10 @@
     fn record_call(&mut self, caller: &Caller, model: &str, prompt: &str) {
         let micros = |time: Duration| time.as_micros() as u64;
         let answer = caller.chat(model, prompt, ANSWER_TOKENS);
-        assert!(answer.whole, "{answer:?}");
+        assert!(answer.complete, "{answer:?}");
         self.total.saturating_record(micros(answer.total));
         let stream = caller.stream(model, prompt, ANSWER_TOKENS);
-        assert!(stream.whole, "{stream:?}");
+        assert!(stream.complete, "{stream:?}");
         self.first_token
             .saturating_record(micros(stream.first_token));
     }
@@ -54,8 +54,10 @@
 /// Measures both paths and prints a table of their percentiles and the differences.
 pub fn run(args: &Args, binary: &Path) -> Result<(), DynError> {
     let halls = ["hall-a", "hall-b", "hall-c"];
-    let engines = (0..4).map(|_| quick_engine(&[("notes@v1", 0.9)])).collect();
-    let world = WorldSpec::new(binary, &halls, engines).start()?;
+    let engines = (0..4)
+        .map(|_| fast_engine_options(&[("notes@v1", 0.9)]))
+        .collect();
+    let world = ClusterSpec::new(binary, &halls, engines).start()?;
     world.configure(&[("notes@v1", 1_000, 0.9)], &[("studio", 0.5, 1)]);
     let rounds = args.seconds * 40;
     let (mut via_box, mut direct) = (Latencies::new(), Latencies::new());
--- a/crates/ivyweir-standins/examples/load/recover.rs
+++ b/crates/ivyweir-standins/examples/load/recover.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::Intent;
-use ivyweir_standins::world::quick_engine;
-use ivyweir_standins::{CallCount, PlatformFaults, World, WorldSpec};
+use ivyweir_standins::cluster::fast_engine_options;
+use ivyweir_standins::{CallCount, Cluster, ClusterSpec, PlatformFaults};
 
 use crate::Args;
 
@@ -24,8 +24,10 @@
 
 /// Runs all measurements and prints them as a Markdown table.
 pub fn run(args: &Args, binary: &Path) -> Result<(), DynError> {
-    let engines = (0..6).map(|_| quick_engine(&[("notes@v1", 0.9)])).collect();
-    let mut world = WorldSpec::new(binary, &HALLS, engines).start()?;
+    let engines = (0..6)
+        .map(|_| fast_engine_options(&[("notes@v1", 0.9)]))
+        .collect();
+    let mut world = ClusterSpec::new(binary, &HALLS, engines).start()?;
     world.configure(&[("notes@v1", 1_000, 0.9)], &[("studio", 0.5, 1)]);
     thread::sleep(Duration::from_secs(3));
     println!("| what, nine boxes | measured |\n|---|---|");
@@ -49,14 +51,14 @@
     Ok(())
 }
 
-fn store_call_rate(world: &World, during: impl FnOnce()) -> f64 {
+fn store_call_rate(world: &Cluster, during: impl FnOnce()) -> f64 {
     let total = |c: CallCount| (c.reads + c.watches + c.writes) as f64;
     let (before, started_at) = (total(world.platform.count()), Instant::now());
     during();
     (total(world.platform.count()) - before) / started_at.elapsed().as_secs_f64()
 }
 
-fn measure_change(world: &World, condition: &str) {
+fn measure_change(world: &Cluster, condition: &str) {
     let mut times_ms: Vec<u128> = (0..CHANGE_COUNT)
         .map(|n| {
             let intent = Intent::CreateEvent {
@@ -70,7 +72,7 @@
             operator
                 .confirm(&plan)
                 .expect("box answers the confirmation");
-            world.wait_in_force(plan.base_generation + 1);
+            world.wait_for_generation(plan.base_generation + 1);
             started_at.elapsed().as_millis()
         })
         .collect();
@@ -85,7 +87,7 @@
 ///
 /// Returns the number of requests, and for each failed one its time since the start.
 fn with_load(
-    world: &World,
+    world: &Cluster,
     boxes: std::ops::Range<usize>,
     during: impl FnOnce(),
 ) -> (usize, Vec<Duration>) {
@@ -103,7 +105,7 @@
                     let mut count = 0;
                     while !stop.load(Ordering::Relaxed) {
                         count += 1;
-                        if !caller.chat("notes", &format!("{n} {count}"), 8).whole {
+                        if !caller.chat("notes", &format!("{n} {count}"), 8).complete {
                             failures
                                 .lock()
                                 .expect("worker thread does not panic")
@@ -127,7 +129,7 @@
     )
 }
 
-fn measure_upstream_leaving(world: &World) {
+fn measure_upstream_leaving(world: &Cluster) {
     let engine = &world.engines[0];
     let mut marked_at = Duration::ZERO;
     let (request_count, failures) = with_load(world, 0..HALLS.len(), || {
@@ -151,9 +153,9 @@
 }
 
 /// Kills the last box and counts the failed requests of callers that use the other eight boxes.
-fn measure_killed_box(world: &mut World) {
+fn measure_killed_box(world: &mut Cluster) {
     let killed_index = HALLS.len() - 1;
-    let pid = world.up(killed_index).pid().to_string();
+    let pid = world.running_box(killed_index).pid().to_string();
     let (request_count, failures) = with_load(world, 0..killed_index, || {
         thread::sleep(Duration::from_secs(1));
         let kill_status = std::process::Command::new("kill")
--- a/crates/ivyweir-standins/examples/load/report.rs
+++ b/crates/ivyweir-standins/examples/load/report.rs
@@ -77,7 +77,7 @@
 /// Computes the statistics of a run.
 pub fn summarize(run: RunResult) -> Row {
     let results = &run.results;
-    let completed: Vec<&RequestResult> = results.iter().filter(|r| r.outcome.whole).collect();
+    let completed: Vec<&RequestResult> = results.iter().filter(|r| r.outcome.complete).collect();
     let deadline = Duration::from_millis(run.deadline_ms);
     let goodput = completed
         .iter()
@@ -85,7 +85,7 @@
         .count();
     let qualities: Vec<f64> = completed.iter().filter_map(|r| r.quality).collect();
     let mut errors = BTreeMap::new();
-    for failed in results.iter().filter(|d| !d.outcome.whole) {
+    for failed in results.iter().filter(|d| !d.outcome.complete) {
         let code = if failed.outcome.code.is_empty() {
             "no_answer"
         } else {
@@ -94,7 +94,7 @@
         *errors.entry(code.to_owned()).or_default() += 1;
     }
     let others: Vec<&RequestResult> = results.iter().filter(|r| r.workspace != 0).collect();
-    let others_completed = others.iter().filter(|r| r.outcome.whole).count();
+    let others_completed = others.iter().filter(|r| r.outcome.complete).count();
     Row {
         completed: completed.len(),
         goodput,
@@ -241,7 +241,7 @@
 }
 
 fn first_token_curve(results: &[RequestResult]) -> Vec<(f64, f64)> {
-    let streams = results.iter().filter(|r| r.stream && r.outcome.whole);
+    let streams = results.iter().filter(|r| r.stream && r.outcome.complete);
     let mut times: Vec<f64> = streams
         .map(|r| r.outcome.first_token.as_secs_f64() * 1e3)
         .collect();
--- a/crates/ivyweir-standins/examples/load/scenario.rs
+++ b/crates/ivyweir-standins/examples/load/scenario.rs
@@ -5,8 +5,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ivyweir_standins::world::epoch_ms;
-use ivyweir_standins::{Behaviour, EngineOptions, PlatformFaults, Speed, World, WorldSpec};
+use ivyweir_standins::cluster::epoch_ms;
+use ivyweir_standins::{Behaviour, Cluster, ClusterSpec, EngineOptions, PlatformFaults, Speed};
 use serde_json::{Value, json};
 
 use crate::Args;
@@ -205,8 +205,8 @@
     }))
 }
 
-fn start_world(binary: &Path, deployment: &Deployment, policy: &str) -> Result<World, DynError> {
-    let mut spec = WorldSpec::new(
+fn start_world(binary: &Path, deployment: &Deployment, policy: &str) -> Result<Cluster, DynError> {
+    let mut spec = ClusterSpec::new(
         binary,
         &deployment.halls,
         (0..deployment.engines).map(|_| engine_options()).collect(),
@@ -247,13 +247,13 @@
 }
 
 /// Injects the fault of the scenario, if it has one.
-fn inject_fault(world: &World, scenario: &str) {
+fn inject_fault(world: &Cluster, scenario: &str) {
     match scenario {
         "bad_version" => {
             for engine in &world.engines {
                 let bad = Behaviour {
                     skill: 0.0,
-                    truncate: 0.4,
+                    truncate_rate: 0.4,
                     ..Behaviour::good(0.0)
                 };
                 engine.set_behaviour("large@v1", bad);
@@ -261,7 +261,7 @@
         }
         "third_gone" => {
             for engine in world.engines.iter().step_by(3) {
-                engine.set_dead(true);
+                engine.set_down(true);
             }
         }
         "store_out" => world.platform.set_faults(PlatformFaults {
@@ -272,17 +272,17 @@
     }
 }
 
-fn cache_counters(world: &World) -> (u64, u64) {
+fn cache_counters(world: &Cluster) -> (u64, u64) {
     world
         .engines
         .iter()
-        .map(|e| e.cache_use())
+        .map(|e| e.prefix_cache_stats())
         .fold((0, 0), |(hits, lookups), (h, l)| (hits + h, lookups + l))
 }
 
 /// Number of engine calls to `large@v1`, the version that `bad_version` degrades, made at or after
 /// the given engine clocks plus `after`.
-fn count_exposed_calls(world: &World, engine_clocks: &[Duration], after: Duration) -> usize {
+fn count_exposed_calls(world: &Cluster, engine_clocks: &[Duration], after: Duration) -> usize {
     world
         .engines
         .iter()
--- a/crates/ivyweir-standins/examples/load/size.rs
+++ b/crates/ivyweir-standins/examples/load/size.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::Intent;
-use ivyweir_standins::world::quick_engine;
-use ivyweir_standins::{BoxProcess, World, WorldSpec};
+use ivyweir_standins::cluster::fast_engine_options;
+use ivyweir_standins::{BoxProcess, Cluster, ClusterSpec};
 
 use crate::Args;
 
@@ -44,9 +44,9 @@
         .collect();
     let upstream_count = box_count * 2;
     let engines = (0..upstream_count)
-        .map(|_| quick_engine(&[("notes@v1", 0.9), ("tags@v1", 0.5)]))
+        .map(|_| fast_engine_options(&[("notes@v1", 0.9), ("tags@v1", 0.5)]))
         .collect();
-    let world = WorldSpec::new(binary, &halls, engines).start()?;
+    let world = ClusterSpec::new(binary, &halls, engines).start()?;
     world.configure(
         &[("notes@v1", 1_000, 0.9), ("tags@v1", 100, 0.5)],
         &[("studio", 0.5, 1)],
@@ -89,7 +89,7 @@
 
 /// Median and maximum time from planning a change until it is in force on every box, over five
 /// changes.
-fn change_times_ms(world: &World) -> (u128, u128) {
+fn change_times_ms(world: &Cluster) -> (u128, u128) {
     let mut times_ms: Vec<u128> = (0..5)
         .map(|n| {
             let started_at = Instant::now();
@@ -98,8 +98,8 @@
                 start_ms: 1,
                 workspaces: vec![],
             };
-            let generation = world.change(n % world.boxes.len(), &intent);
-            world.wait_in_force(generation);
+            let generation = world.apply_intent(n % world.boxes.len(), &intent);
+            world.wait_for_generation(generation);
             started_at.elapsed().as_millis()
         })
         .collect();
