--- a/crates/ivyweir-policy/src/gateway/fleet.rs
+++ b/crates/ivyweir-policy/src/gateway/fleet.rs
@@ -90,10 +90,6 @@
         self.state == MemberState::Ready
     }
 
-    fn has_start_time(&self) -> bool {
-        self.record.registered_as.is_some()
-    }
-
     fn pool_addr(&self) -> PoolAddr {
         (self.record.pool.clone(), self.record.addr)
     }
@@ -272,7 +268,7 @@
         self.release_addr(&addr, id);
         self.remove_claimant(&addr, id);
         if let Some(pool) = self.pools.get_mut(&addr.0) {
-            pool.remove(id, member.id_hash, member.has_start_time());
+            pool.remove(id, member.id_hash, member.record.registered_as.is_some());
         }
     }
 
@@ -424,12 +420,12 @@
         let mut of_pool: Vec<&Member> = Vec::new();
         let mut with_start_time = 0;
         for member in self.members.values().filter(|m| &*m.record.pool == pool) {
-            with_start_time += usize::from(member.has_start_time());
+            with_start_time += usize::from(member.record.registered_as.is_some());
             of_pool.push(member);
         }
         let requires_start_time = with_start_time * 2 > of_pool.len();
         of_pool.retain(|member| {
-            let is_accepted = !requires_start_time || member.has_start_time();
+            let is_accepted = !requires_start_time || member.record.registered_as.is_some();
             is_accepted && may_serve(&member.record) && self.holds_addr(member)
         });
         let has_ready = of_pool.iter().any(|member| member.is_ready());
@@ -479,7 +475,7 @@
         let requires_start_time = pool.mostly_has_start_time();
         let members = ids.filter_map(|id| self.members.get(id));
         let usable = members.filter(|member| {
-            let is_accepted = !requires_start_time || member.has_start_time();
+            let is_accepted = !requires_start_time || member.record.registered_as.is_some();
             is_accepted && member.is_ready() && may_serve(&member.record) && self.holds_addr(member)
         });
         usable.map(|member| member.record.clone()).collect()
