--- a/crates/ivyweird/src/stream.rs
+++ b/crates/ivyweird/src/stream.rs
@@ -152,7 +152,7 @@
         for chunk in stream.map_err(StreamError::Upstream)? {
             let chunk = chunk.map_err(StreamError::Upstream)?;
             if self.context.remaining_ms() == 0 {
-                let error = CallError::new(Fault::TimedOut, "deadline passed while streaming");
+                let error = CallError::new(Fault::TimedOut, "deadline");
                 return Err(StreamError::Upstream(error));
             }
             let now_ms = self.context.node.clock.now_ms();
