--- a/tools/mutations.sh
+++ b/tools/mutations.sh
@@ -33,18 +33,18 @@
 
 only=${1:-}
 d=crates/ivyweird/src p=crates/ivyweir-policy/src e=crates/ivyweir-engine/src
-mutate skip_claim $d/context.rs 's/claimed: Cell::new\(!marks.at_most_once\)/claimed: Cell::new(true)/' ivyweird once a_key_sent_to_all
-mutate repeat_after_send $d/service_call.rs 's/let repeatable =\s*!context.marks.at_most_once\s*&&/let repeatable = true ||/' ivyweird once a_connection_that_breaks
-mutate drop_replica $d/replica.rs 's/if !node\s*\.peers\s*\.hold\(&at\.peer_addr, request\)\s*\.unwrap_or\(false\)\s*\{\s*return None;\s*\}/drop(request);/' ivyweird billing a_replica_writes
-mutate bill_by_segment $p/ledger.rs 's/let id = \(record.workspace.clone\(\), record.key.clone\(\)\);/let id = (record.workspace.clone(), format!("{}{}", record.key, record.at_ms).into());/' ivyweird billing a_repeated_key
-mutate lower_generation $d/config.rs 's/if config.generation < held.config.generation \{\s*return Adoption::Older;\s*\}//' ivyweird config a_store_that_is_set_back
-mutate no_sight $p/sight.rs 's/Sight::Blind\n    \}/Sight::StoreOut\n    }/' ivyweird config a_box_cut_off
-mutate no_majority $p/sight.rs 's/pub fn may_accept\(seen: Evidence\) -> bool \{\s*is_majority\(seen\)/pub fn may_accept(_: Evidence) -> bool { true/' ivyweird config a_box_cut_off
+mutate skip_claim $d/context.rs 's/claimed: Cell::new\(!options.at_most_once\)/claimed: Cell::new(true)/' ivyweird once a_key_sent_to_all
+mutate repeat_after_send $d/service_call.rs 's/let repeatable =\s*!context.options.at_most_once\s*&&/let repeatable = true ||/' ivyweird once a_connection_that_breaks
+mutate drop_replica $d/replica.rs 's/if !node\s*\.peers\s*\.hold\(&member\.peer_addr, request\)\s*\.unwrap_or\(false\)\s*\{\s*return None;\s*\}/drop(request);/' ivyweird billing a_replica_writes
+mutate bill_by_segment $p/billing.rs 's/let id = \(record.workspace.clone\(\), record.key.clone\(\)\);/let id = (record.workspace.clone(), format!("{}{}", record.key, record.at_ms).into());/' ivyweird billing a_repeated_key
+mutate lower_generation $d/config.rs 's/if config.generation < active.config.generation \{\s*return OfferOutcome::Older;\s*\}//' ivyweird config a_store_that_is_set_back
+mutate no_sight $p/freshness.rs 's/Freshness::Partitioned\n    \}/Freshness::StoreUnavailable\n    }/' ivyweird config a_box_cut_off
+mutate no_majority $p/freshness.rs 's/pub fn may_accept_change\(evidence: FreshnessEvidence\) -> bool \{\s*has_majority\(evidence\)/pub fn may_accept_change(_: FreshnessEvidence) -> bool { true/' ivyweird config a_box_cut_off
 mutate move_session $d/route.rs 's/if let Some\(session\) = &context.session \{\s*let pinned/if let Some(session) = context.session.as_ref().filter(|_| false) {\n let pinned/' ivyweird answers a_session_keeps
-mutate use_withdrawn $p/value.rs 's/allowed && self.is_active\(at\)/allowed/' ivyweird config a_store_that_is_set_back
-mutate deliver_truncated $e/answer.rs 's/if choice\s*\.get\("finish_reason"\)\s*\.and_then\(Value::as_str\)\s*\.is_none\(\)/if false/' ivyweird answers truncated_answers
-mutate deliver_mismatched $e/answer.rs 's/if id.ends_with\(request.request_id\(\)\) && model == request.version\(\)/if true || (id.is_empty() \&\& model.is_empty())/' ivyweird answers answers_to_other
-mutate use_leaving $p/upstream.rs 's/pool_fits && version_fits && self.state == BoxState::Live/pool_fits \&\& version_fits/' ivyweird answers a_leaving_upstream
-mutate stop_at_once $d/stop.rs 's/while node.in_progress\(\) > 0 \{\s*std::thread::sleep\(POLL\);\s*\}//' ivyweird answers a_planned_stop
-mutate no_guard $p/guard.rs 's/own \|\| others >= QUORUM/false \&\& (own || others >= QUORUM)/' ivyweird answers a_version_that_turns_bad
+mutate use_withdrawn $p/config.rs 's/allowed && self.is_active\(at\)/allowed/' ivyweird config a_store_that_is_set_back
+mutate deliver_truncated $e/response.rs 's/if choice\s*\.get\("finish_reason"\)\s*\.and_then\(Value::as_str\)\s*\.is_none\(\)/if false/' ivyweird answers truncated_answers
+mutate deliver_mismatched $e/response.rs 's/if id.ends_with\(request.request_id\(\)\) && model == request.version\(\)/if true || (id.is_empty() \&\& model.is_empty())/' ivyweird answers answers_to_other
+mutate use_leaving $p/upstream.rs 's/pool_matches && version_matches && self.state == BoxState::Live/pool_matches \&\& version_matches/' ivyweird answers a_leaving_upstream
+mutate stop_at_once $d/shutdown.rs 's/while node.in_progress\(\) > 0 \{\s*std::thread::sleep\(POLL_INTERVAL\);\s*\}//' ivyweird answers a_planned_stop
+mutate no_guard $p/version_health.rs 's/own \|\| peers_reporting >= PEER_QUORUM/false \&\& (own || peers_reporting >= PEER_QUORUM)/' ivyweird answers a_version_that_turns_bad
 exit $survived
