--- a/crates/ivyweir-gateway/src/admit.rs
+++ b/crates/ivyweir-gateway/src/admit.rs
@@ -48,12 +48,12 @@
         .route(host, head.uri.path())
         .ok_or_else(|| deny_if_current(gateway, ErrorReason::NoRoute))?
         .clone();
-    let envelope = gateway.dialect.request_metadata(&head.headers);
-    let workspace = authorize(gateway, &site, &route, &envelope)?;
-    let seed = job::request_seed(&envelope);
+    let metadata = gateway.dialect.request_metadata(&head.headers);
+    let workspace = authorize(gateway, &site, &route, &metadata)?;
+    let seed = job::request_seed(&metadata);
     let pool = route.pool(seed).ok_or(ErrorReason::NoUpstream)?.clone();
-    let side = gateway.rollout_side(&pool, envelope.session, seed);
-    let budget_ms = envelope.budget_ms.unwrap_or(route.timeout_ms);
+    let side = gateway.rollout_side(&pool, metadata.session, seed);
+    let budget_ms = metadata.budget_ms.unwrap_or(route.timeout_ms);
     let deadline_ms = arrived_ms + budget_ms.min(route.timeout_ms);
     let fingerprint = Fingerprint::of(&RequestContent {
         method: head.method.as_str(),
@@ -74,7 +74,7 @@
         head: job::forwarded_head(head, &*gateway.dialect),
         body,
         is_authenticated: workspace.is_some(),
-        envelope,
+        metadata,
         route,
         pool,
         workspace,
@@ -114,9 +114,9 @@
     gateway: &Gateway,
     site: &SiteIndex,
     route: &Route,
-    envelope: &RequestMetadata,
+    metadata: &RequestMetadata,
 ) -> Result<Option<Arc<Workspace>>, ErrorReason> {
-    match site.access(route, envelope.key.as_deref()) {
+    match site.access(route, metadata.key.as_deref()) {
         Access::Anonymous => Ok(None),
         Access::Denied => Err(deny_if_current(gateway, ErrorReason::Unauthorized)),
         Access::Workspace(_) if !gateway.may_serve_keys() => Err(ErrorReason::NotCurrent),
--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -141,7 +141,7 @@
     /// Status, headers and the unread body.
     pub response: Response<Incoming>,
     /// Metadata from the response headers.
-    pub marks: ResponseMetadata,
+    pub metadata: ResponseMetadata,
     /// Guard for the request at the upstream.
     pub in_flight: InFlightRequest,
     /// Time for which the connection may be kept idle afterwards; `None` if it must be closed.
@@ -304,17 +304,17 @@
 ) -> AttemptOutcome {
     let status = response.status().as_u16();
     gateway.note_unread_headers(&in_flight.upstream.id, response.headers());
-    let marks = gateway
+    let metadata = gateway
         .dialect
         .response_metadata(status, response.headers());
     let keep_alive_ms = keep_alive_ms(response.headers());
     let is_framed = is_framed(response.headers());
     in_flight.record_prefilled();
     let upstream: &Name = &in_flight.upstream.id.clone();
-    let is_genuine = !marks.not_run && is_response_to(job, &marks, status);
+    let is_genuine = !metadata.not_run && is_response_to(job, &metadata, status);
     let statement = Statement {
         response_time_ms: is_genuine.then_some(head_after_ms),
-        ..marks.statement
+        ..metadata.statement
     };
     let detail = json!({
         "upstream": upstream, "status": status, "leaving": statement.is_leaving,
@@ -322,7 +322,7 @@
         "limit_per_s": statement.limit.map(DeclaredLimit::requests_per_s),
         "load": statement.load.map(|l| [l.running, l.waiting]),
     });
-    if marks.is_other_incarnation {
+    if metadata.is_other_incarnation {
         trace.fail("other_incarnation", detail);
         in_flight.settle();
         gateway.mark_upstream_left(upstream);
@@ -332,7 +332,7 @@
     // Recorded before the response is examined: the upstream's statement holds even if the response is discarded.
     gateway.apply_statement(upstream, &statement);
     count_statement(gateway, job, &statement);
-    if marks.not_run {
+    if metadata.not_run {
         trace.fail("upstream_refused", detail);
         in_flight.settle();
         in_flight.record_outcome(true);
@@ -351,7 +351,7 @@
     count_attempt(gateway, job, "answered");
     AttemptOutcome::Answered(Box::new(Reply {
         response,
-        marks,
+        metadata,
         in_flight,
         keep_alive_ms,
         is_framed,
@@ -366,9 +366,9 @@
 
 /// Returns whether a response was produced by the upstream for this request: it echoes the request id, and it is
 /// signed if it is a success.
-fn is_response_to(job: &Job, marks: &ResponseMetadata, status: u16) -> bool {
+fn is_response_to(job: &Job, metadata: &ResponseMetadata, status: u16) -> bool {
     let is_success = (200..300).contains(&status);
-    marks.request_id == job.envelope.request_id && (marks.is_signed || !is_success)
+    metadata.request_id == job.metadata.request_id && (metadata.is_signed || !is_success)
 }
 
 /// Builds the metadata that the gateway adds for this upstream.
--- a/crates/ivyweir-gateway/src/buffer.rs
+++ b/crates/ivyweir-gateway/src/buffer.rs
@@ -35,7 +35,7 @@
         mut in_flight,
         keep_alive_ms,
         is_framed,
-        marks,
+        metadata,
         ..
     } = reply;
     let (mut head, body) = response.into_parts();
@@ -73,7 +73,7 @@
     head.headers.remove(header::CONTENT_LENGTH);
     let detail = json!({
         "upstream": upstream, "status": head.status.as_u16(), "bytes": bytes.len(),
-        "leaving": marks.statement.is_leaving, "limit_per_s": marks.statement.limit.map(DeclaredLimit::requests_per_s),
+        "leaving": metadata.statement.is_leaving, "limit_per_s": metadata.statement.limit.map(DeclaredLimit::requests_per_s),
     });
     if head.status.is_server_error() {
         trace.fail("answered", detail);
--- a/crates/ivyweir-gateway/src/canary.rs
+++ b/crates/ivyweir-gateway/src/canary.rs
@@ -23,8 +23,8 @@
             pace_ms: (!failed).then_some(reply.head_after_ms as f64),
             span: Span::Whole,
             age_ms: reply.head_after_ms,
-            running: reply.marks.running(),
-            queue: reply.marks.waiting_per_running(),
+            running: reply.metadata.running(),
+            queue: reply.metadata.waiting_per_running(),
         };
         record_sample(gateway, job, &reply.in_flight.upstream, &sample);
     }
--- a/crates/ivyweir-gateway/src/job.rs
+++ b/crates/ivyweir-gateway/src/job.rs
@@ -39,7 +39,7 @@
     /// The complete body.
     pub body: Bytes,
     /// Metadata from the caller's headers.
-    pub envelope: RequestMetadata,
+    pub metadata: RequestMetadata,
     pub route: Arc<Route>,
     pub pool: Name,
     /// The caller's workspace; `None` for anonymous access.
@@ -67,7 +67,7 @@
 
     /// Returns whether the gateway chooses the model.
     pub fn chooses_model(&self) -> bool {
-        self.envelope.auto_model && !self.route.models.is_empty()
+        self.metadata.auto_model && !self.route.models.is_empty()
     }
 
     /// Returns the key of the group in which response times are compared: same route and same model.
@@ -110,11 +110,11 @@
 
     /// Returns its token counts, if the caller states them.
     pub fn tokens(&self) -> Option<Tokens> {
-        let (own, shared) = self.envelope.prompt_parts.split_last()?;
+        let (own, shared) = self.metadata.prompt_parts.split_last()?;
         Some(Tokens {
             shared: shared.iter().map(|part| part.tokens).sum(),
             unique: own.tokens,
-            output: self.envelope.expected_output_tokens.unwrap_or(0),
+            output: self.metadata.expected_output_tokens.unwrap_or(0),
         })
     }
 
@@ -133,7 +133,7 @@
     }
 
     fn shared_parts(&self) -> &[PromptPart] {
-        match self.envelope.prompt_parts.split_last() {
+        match self.metadata.prompt_parts.split_last() {
             Some((_, shared)) => shared,
             None => &[],
         }
@@ -176,8 +176,8 @@
 
 /// Returns a number that differs between requests. It is derived from the request id, so that all boxes compute the
 /// same one; without an id it is random.
-pub fn request_seed(envelope: &RequestMetadata) -> u64 {
-    match &envelope.request_id {
+pub fn request_seed(metadata: &RequestMetadata) -> u64 {
+    match &metadata.request_id {
         Some(id) => hash64(&[id.as_bytes()]),
         None => rand::random(),
     }
--- a/crates/ivyweir-gateway/src/pipeline.rs
+++ b/crates/ivyweir-gateway/src/pipeline.rs
@@ -26,8 +26,8 @@
     let active = gateway.begin_request();
     let arrived_ms = gateway.clock.now_ms();
     let (head, body) = request.into_parts();
-    let envelope = gateway.dialect.request_metadata(&head.headers);
-    let id = envelope.request_id.clone().unwrap_or_else(|| "-".into());
+    let metadata = gateway.dialect.request_metadata(&head.headers);
+    let id = metadata.request_id.clone().unwrap_or_else(|| "-".into());
     let mut trace = Trace::new(gateway.log.clone(), id);
     let path = head.uri.path().to_owned();
     let admitted = admit(&gateway, head, body, arrived_ms, &mut trace).await;
@@ -183,8 +183,8 @@
 ) -> Response<ResponseBody> {
     let detail = json!({
         "upstream": reply.in_flight.upstream.id, "model": model,
-        "confidence": reply.marks.confidence, "head_after_ms": reply.head_after_ms,
-        "leaving": reply.marks.statement.is_leaving, "limit_per_s": reply.marks.statement.limit.map(DeclaredLimit::requests_per_s),
+        "confidence": reply.metadata.confidence, "head_after_ms": reply.head_after_ms,
+        "leaving": reply.metadata.statement.is_leaving, "limit_per_s": reply.metadata.statement.limit.map(DeclaredLimit::requests_per_s),
     });
     trace.step("relaying", detail);
     stream::start(gateway, job, reply, model, state, trace, active)
@@ -222,7 +222,8 @@
     let Some(larger) = escalation_target(gateway, job, state, reply) else {
         return ReplyAction::Relay;
     };
-    let detail = json!({"confidence": reply.marks.confidence, "from": state.model, "to": larger});
+    let detail =
+        json!({"confidence": reply.metadata.confidence, "from": state.model, "to": larger});
     trace.step("larger_model", detail);
     state.may_have_run = true;
     ReplyAction::Escalate(larger)
@@ -243,7 +244,7 @@
     let prefill_ms = gateway.estimate(job, models.saturating_sub(1)).prefill_ms;
     let target_ms = job.arrived_ms + job.route.latency_aim_ms;
     let larger = cascade::escalate(&EscalationInput {
-        confidence: reply.marks.confidence,
+        confidence: reply.metadata.confidence,
         floor: gateway.settings.policy.confidence_floor,
         model: state.model,
         models,
--- a/crates/ivyweir-gateway/src/reports.rs
+++ b/crates/ivyweir-gateway/src/reports.rs
@@ -150,7 +150,7 @@
     }
     // A box without a source returns at once to one that has a source, instead of waiting for its
     // back-off.
-    if message.hears && !gateway.receives_store_records() {
+    if message.receives_records && !gateway.receives_store_records() {
         gateway.peers.record_source(&message.from);
     }
     gateway.apply_departures(&message.departures);
@@ -163,7 +163,7 @@
     }
     gateway
         .peers
-        .add_report(&message.from, message.word, now_ms);
+        .add_report(&message.from, message.report, now_ms);
 }
 
 /// Returns the sum of the reports of boxes other than those matched by `except`.
@@ -210,8 +210,8 @@
         from: gateway.settings.box_name.clone(),
         for_hall,
         is_root: gateway.histories.is_root(),
-        hears: gateway.receives_store_records(),
-        word: report,
+        receives_records: gateway.receives_store_records(),
+        report,
         departures: gateway.recent_departures(),
         limits: gateway.recent_limits(),
         quarantine: gateway.ledger_update_for(to),
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -84,7 +84,7 @@
     /// Recent changes of the topics, for boxes that follow this one.
     pub histories: Histories,
     /// Notifications about the store between the tasks that follow topics.
-    pub store_news: StoreEvents,
+    pub store_events: StoreEvents,
     store_era: Mutex<StoreEra>,
     site: Mutex<Option<Arc<SiteIndex>>>,
     proof: Mutex<FreshnessProof>,
@@ -140,7 +140,7 @@
             channels: ConnectionPool::default(),
             peers,
             histories: Histories::default(),
-            store_news: StoreEvents::default(),
+            store_events: StoreEvents::default(),
             store_era: Mutex::default(),
             site: Mutex::default(),
             proof: Mutex::default(),
@@ -304,7 +304,7 @@
     pub fn handle_suspension(&self, lasted_ms: u64) {
         let detail = json!({"lasted_ms": lasted_ms, "proof_age_ms": self.proof_age_ms()});
         self.log.line("woke", detail);
-        self.store_news.notify_store_lost();
+        self.store_events.notify_store_lost();
         self.histories.notify();
     }
 
--- a/crates/ivyweir-gateway/src/state/store_era.rs
+++ b/crates/ivyweir-gateway/src/state/store_era.rs
@@ -32,7 +32,7 @@
                 let detail = json!({"era": era, "era_before": previous});
                 self.log.line("store_restored", detail);
                 // Requests that are still open may wait for revisions that the store no longer has.
-                self.store_news.notify_store_lost();
+                self.store_events.notify_store_lost();
             }
         }
         era
--- a/crates/ivyweir-gateway/src/stream.rs
+++ b/crates/ivyweir-gateway/src/stream.rs
@@ -52,14 +52,14 @@
         response,
         in_flight,
         keep_alive_ms,
-        marks,
+        metadata,
         is_framed,
         ..
     } = reply;
     let (mut head, body) = response.into_parts();
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
-    let last_event_id = job.envelope.last_event_id;
+    let last_event_id = job.metadata.last_event_id;
     let stream = Stream {
         gateway: gateway.clone(),
         job,
@@ -69,7 +69,7 @@
             in_flight,
             keep_alive_ms,
             is_framed,
-            running: marks.running(),
+            running: metadata.running(),
             last_read_ms: gateway.clock.now_ms(),
             ignores_stalls: false,
         },
--- a/crates/ivyweir-gateway/src/stream/resume.rs
+++ b/crates/ivyweir-gateway/src/stream/resume.rs
@@ -96,12 +96,12 @@
         let upstream = &reply.in_flight.upstream.id;
         let detail = json!({
             "upstream": upstream, "behind_event": self.last_event_id,
-            "leaving": reply.marks.statement.is_leaving,
+            "leaving": reply.metadata.statement.is_leaving,
         });
         self.trace.step("resumed", detail);
         self.partial.clear();
         self.source = Source {
-            running: reply.marks.running(),
+            running: reply.metadata.running(),
             replaced: self.gateway.watch_replacement(&reply.in_flight.upstream.id),
             body: reply.response.into_body(),
             in_flight: reply.in_flight,
--- a/crates/ivyweir-gateway/src/sync.rs
+++ b/crates/ivyweir-gateway/src/sync.rs
@@ -97,9 +97,9 @@
                 gateway.clock.now_ms(),
             ),
             is_probing: false,
-            polls_seen: gateway.store_news.poll_requests(),
-            upstreams_requests_served: gateway.store_news.upstreams_requests(),
-            upstreams_requests_seen: gateway.store_news.upstreams_requests(),
+            polls_seen: gateway.store_events.poll_requests(),
+            upstreams_requests_served: gateway.store_events.upstreams_requests(),
+            upstreams_requests_seen: gateway.store_events.upstreams_requests(),
             has_switched_to_store: false,
             gateway,
             topic,
@@ -112,13 +112,13 @@
     /// Whether the configuration's follower waits for a response about upstreams that this follower
     /// has to get.
     fn is_upstreams_requested(&self) -> bool {
-        let requested = self.gateway.store_news.upstreams_requests();
+        let requested = self.gateway.store_events.upstreams_requests();
         self.topic == Topic::Upstreams && requested > self.upstreams_requests_served
     }
 
     /// Marks the start of a request; returns whether its response is needed at once.
     fn begin_request(&mut self) -> bool {
-        self.upstreams_requests_seen = self.gateway.store_news.upstreams_requests();
+        self.upstreams_requests_seen = self.gateway.store_events.upstreams_requests();
         self.is_upstreams_requested()
     }
 
@@ -197,7 +197,7 @@
             .peers
             .record_source(&self.gateway.settings.box_name);
         if self.is_probing && self.topic == Topic::Site {
-            self.gateway.store_news.request_poll();
+            self.gateway.store_events.request_poll();
         }
         if self.failures > 0 {
             let detail = json!({"topic": self.topic.name(), "after_failures": self.failures});
--- a/crates/ivyweir-gateway/src/sync/confirm.rs
+++ b/crates/ivyweir-gateway/src/sync/confirm.rs
@@ -40,7 +40,7 @@
         if self.topic != Topic::Site {
             if self.topic == Topic::Upstreams && source.is_current() {
                 self.upstreams_requests_served = self.upstreams_requests_seen;
-                self.gateway.store_news.notify_upstreams_received();
+                self.gateway.store_events.notify_upstreams_received();
             }
             return false;
         }
@@ -48,7 +48,7 @@
         // whose proof may still be young enough for keyed requests. With 4 busy processes beside
         // it, one of 3 runs of the test suite sent work to an upstream that had left.
         if !self.is_unconfirmed {
-            if self.gateway.store_news.has_received_upstreams() {
+            if self.gateway.store_events.has_received_upstreams() {
                 return true;
             }
             if !source.is_current() {
@@ -72,16 +72,16 @@
     /// Requests upstreams and waits for them for a limited time, and wakes the tasks that wait for
     /// the store to return. Returns whether the upstreams were received.
     async fn wait_for_upstreams(&self, source: ResponseSource) -> bool {
-        let mut received = self.gateway.store_news.subscribe_upstreams();
+        let mut received = self.gateway.store_events.subscribe_upstreams();
         // A follower of another box receives only changes of upstreams, and there may be none for a
         // long time: boxes that probed an unavailable store served no keyed request for 1.5 to 4 s
         // after its return.
-        self.gateway.store_news.request_upstreams();
+        self.gateway.store_events.request_upstreams();
         if let ResponseSource::Store = source {
             self.gateway.histories.set_store_responsive(true);
             // A probe requests the poll itself.
             if !self.is_probing {
-                self.gateway.store_news.request_poll();
+                self.gateway.store_events.request_poll();
             }
         }
         self.gateway.histories.notify();
--- a/crates/ivyweir-gateway/src/sync/peer.rs
+++ b/crates/ivyweir-gateway/src/sync/peer.rs
@@ -133,12 +133,12 @@
             RELAY_ANSWER_LIMIT_MS
         };
         let limit = Duration::from_millis(wait_ms + limit_ms);
-        let store_news = &self.gateway.store_news;
+        let store_events = &self.gateway.store_events;
         tokio::select! {
             answer = client.call(request, limit) => return Ok(answer),
             () = self.gateway.peers.wait_until_backing_off(&relay.name, &self.gateway.clock) => {}
-            () = store_news.wait_for_upstreams_request(requested), if self.topic == Topic::Upstreams => {}
-            () = store_news.wait_for_poll_request(), if self.topic != Topic::Site => {}
+            () = store_events.wait_for_upstreams_request(requested), if self.topic == Topic::Upstreams => {}
+            () = store_events.wait_for_poll_request(), if self.topic != Topic::Site => {}
         }
         self.connection = None;
         Err(FetchError::Peer)
--- a/crates/ivyweir-gateway/src/sync/probe.rs
+++ b/crates/ivyweir-gateway/src/sync/probe.rs
@@ -114,7 +114,7 @@
     /// Whether the configuration's follower found the store responsive and requested that the other
     /// topics poll it once.
     pub(super) fn is_poll_requested(&mut self) -> bool {
-        let requests = self.gateway.store_news.poll_requests();
+        let requests = self.gateway.store_events.poll_requests();
         std::mem::replace(&mut self.polls_seen, requests) != requests && self.topic != Topic::Site
     }
 
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -111,7 +111,7 @@
         }
         self.gateway.histories.set_store_responsive(is_responsive);
         if !is_responsive {
-            self.gateway.store_news.notify_store_lost();
+            self.gateway.store_events.notify_store_lost();
         }
     }
 
@@ -183,7 +183,7 @@
         let limit = Duration::from_millis(wait_ms) + limit;
         let Gateway {
             histories,
-            store_news,
+            store_events,
             ..
         } = &*self.gateway;
         let mut call = pin!(self.client.call(request, limit));
@@ -192,7 +192,7 @@
             // then. So a long wait ends as soon as the short ones detect the loss.
             return tokio::select! {
                 answer = call => answer,
-                () = store_news.wait_for_store_loss() => Err(CallError::Abandoned {
+                () = store_events.wait_for_store_loss() => Err(CallError::Abandoned {
                     detail: "the store did not answer a configuration request".into(),
                 }),
             };
--- a/crates/ivyweir-policy/src/gateway/duty/usage.rs
+++ b/crates/ivyweir-policy/src/gateway/duty/usage.rs
@@ -66,14 +66,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageUpdate {
     /// Position of the sender after this update, if it contains rows.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub told: Option<UsageCursor>,
+    #[serde(default, rename = "told", skip_serializing_if = "Option::is_none")]
+    pub sent_up_to: Option<UsageCursor>,
     /// Rows that changed since the last change acknowledged by the receiver.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rows: Vec<UsageRow>,
     /// Acknowledgement: position of the sender in the receiver's changes.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub heard: Option<UsageCursor>,
+    #[serde(default, rename = "heard", skip_serializing_if = "Option::is_none")]
+    pub received_up_to: Option<UsageCursor>,
     /// The newest window whose report the sender knows to be fixed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fixed_window: Option<u64>,
@@ -187,12 +187,12 @@
             }));
         }
         Some(UsageUpdate {
-            told: has_changes.then_some(UsageCursor {
+            sent_up_to: has_changes.then_some(UsageCursor {
                 run: self.me.run,
                 change: self.changes,
             }),
             rows,
-            heard: known.received,
+            received_up_to: known.received,
             fixed_window: self.fixed_window,
         })
     }
@@ -205,12 +205,14 @@
             self.note_fixed_window(window);
         }
         let known = self.peers.entry(peer.clone()).or_default();
-        if let Some(told) = update.told {
-            known.received = Some(told);
+        if let Some(sent_up_to) = update.sent_up_to {
+            known.received = Some(sent_up_to);
             known.ack_due = true;
         }
         // Acknowledgements of an earlier run of this box do not apply to the current run.
-        let acked = update.heard.filter(|acked| acked.run == self.me.run);
+        let acked = update
+            .received_up_to
+            .filter(|acked| acked.run == self.me.run);
         known.acked_change = acked.map_or(0, |acked| acked.change);
         for row in update.rows {
             self.merge(row, is_local_hall);
--- a/crates/ivyweir-policy/src/gateway/peer_report.rs
+++ b/crates/ivyweir-policy/src/gateway/peer_report.rs
@@ -171,9 +171,11 @@
     /// Whether the sender receives the store's records directly from the store.
     pub is_root: bool,
     /// Whether the sender currently receives the store's records from any source.
-    pub hears: bool,
+    #[serde(rename = "hears")]
+    pub receives_records: bool,
     /// The report.
-    pub word: PeerReport,
+    #[serde(rename = "word")]
+    pub report: PeerReport,
     /// Incarnations of upstreams that recently announced their departure other than through the registry.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub departures: Vec<Name>,
--- a/crates/ivyweird/src/caller_api.rs
+++ b/crates/ivyweird/src/caller_api.rs
@@ -105,7 +105,7 @@
         && request.stream
     {
         match Context::new(node, &parsed.headers) {
-            Ok(context) if !context.options.at_most_once => {
+            Ok(context) if !context.metadata.at_most_once => {
                 return stream::answer(&context, &request, incoming);
             }
             Ok(_) => {}
@@ -158,7 +158,7 @@
     parsed: &ParsedRequest,
     run: impl FnOnce() -> Result<Reply, Refusal>,
 ) -> Result<Reply, Refusal> {
-    if context.options.at_most_once {
+    if context.metadata.at_most_once {
         forward::at_most_once(context, parsed, run)
     } else {
         run()
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -1,4 +1,4 @@
-//! The context of a request: caller, session, options and deadline.
+//! The context of a request: caller, session, metadata and deadline.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::clock::Clock;
 use crate::config::ConfigSnapshot;
 use crate::dispatcher::FleetSnapshot;
-use crate::idempotency::{self, ClaimResult};
+use crate::idempotency::{self, ClaimWriteOutcome};
 use crate::node::Node;
 use crate::version_stats::class_name;
 
@@ -24,7 +24,7 @@
     /// The caller's workspace.
     pub workspace: Name,
     /// Options that the caller set in headers.
-    pub options: RequestMetadata,
+    pub metadata: RequestMetadata,
     /// Session of the request, if it names one.
     pub session: Option<Session>,
     /// Idempotency key: the caller's, or a generated unique one.
@@ -54,30 +54,30 @@
     ///
     /// Returns a refusal for a malformed header, an unknown caller key or an invalid session.
     pub fn new(node: &'a Node, headers: &[Header]) -> Result<Self, Refusal> {
-        let options = RequestMetadata::from_headers(|name| header(headers, name))?;
+        let metadata = RequestMetadata::from_headers(|name| header(headers, name))?;
         let current = node.current();
-        let workspace = authenticate(&current, &options)?;
-        let session = match &options.session {
+        let workspace = authenticate(&current, &metadata)?;
+        let session = match &metadata.session {
             None => None,
             Some(token) => Some(verify_session(&current, token, &workspace)?),
         };
-        if options.at_most_once && options.request_key.is_none() {
+        if metadata.at_most_once && metadata.request_key.is_none() {
             let text = "Idempotency-Key: required with X-Ivyweir-Repeatable: no";
             return Err(Refusal::not_run(Code::KeyRequired, text));
         }
-        let request_key = options.request_key.as_deref().map(Name::from);
+        let request_key = metadata.request_key.as_deref().map(Name::from);
         let key = request_key.unwrap_or_else(|| node.unique_name());
         let arrived_ms = node.clock.now_ms();
         Ok(Self {
-            class: class_name(&workspace, &options.class),
-            deadline_ms: arrived_ms + options.deadline_ms,
-            claimed: Cell::new(!options.at_most_once),
+            class: class_name(&workspace, &metadata.class),
+            deadline_ms: arrived_ms + metadata.deadline_ms,
+            claimed: Cell::new(!metadata.at_most_once),
             sent: Cell::new(false),
             claim_holder: RefCell::new(None),
             node,
             current,
             workspace,
-            options,
+            metadata,
             session,
             key,
         })
@@ -144,7 +144,7 @@
             self.claimed.set(true);
         }
         assert!(
-            !self.options.at_most_once || !self.sent.get(),
+            !self.metadata.at_most_once || !self.sent.get(),
             "invariant: a request that must run at most once is sent only once"
         );
         self.sent.set(true);
@@ -154,7 +154,7 @@
     /// Marks the request as not run. Must be called only if the upstream certainly did not accept
     /// it.
     pub fn mark_not_run(&self) {
-        if self.options.at_most_once {
+        if self.metadata.at_most_once {
             self.sent.set(false);
         }
     }
@@ -189,8 +189,8 @@
             None => self.node.unique_name(),
         };
         match idempotency::claim_key(self.node, &self.workspace, &self.key, &nonce) {
-            ClaimResult::Granted => Ok(()),
-            ClaimResult::Taken(holder) => {
+            ClaimWriteOutcome::Granted => Ok(()),
+            ClaimWriteOutcome::Taken(holder) => {
                 let text = format!(
                     "the idempotency key was already used on box {}",
                     holder.box_name
@@ -199,8 +199,8 @@
                 Err(Refusal::unknown(Code::Duplicate, text))
             }
             // While the store is unavailable, the session's authority is sufficient.
-            ClaimResult::NotWritten if self.session.is_some() => Ok(()),
-            ClaimResult::NotWritten => {
+            ClaimWriteOutcome::NotWritten if self.session.is_some() => Ok(()),
+            ClaimWriteOutcome::NotWritten => {
                 let text =
                     "the claim could not be written; use a session to continue without the store";
                 let refusal = Refusal::not_run(Code::ClaimUnavailable, text);
@@ -212,9 +212,9 @@
 
 const CLAIM_RETRY_AFTER_MS: u64 = 2_000;
 
-fn authenticate(current: &ConfigSnapshot, options: &RequestMetadata) -> Result<Name, Refusal> {
+fn authenticate(current: &ConfigSnapshot, metadata: &RequestMetadata) -> Result<Name, Refusal> {
     let unauthenticated = |text| Refusal::not_run(Code::Unauthenticated, text);
-    let key = options
+    let key = metadata
         .caller_key
         .as_deref()
         .ok_or_else(|| unauthenticated("Authorization: expected Bearer and a workspace key"))?;
--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -81,13 +81,13 @@
             .map(|age| age.min(u64::from(u32::MAX)) as u32),
         loads: loads_to_send(node, now_ms, digest_seq),
         tallies: node
-            .learning
+            .version_stats
             .select_counters(MAX_COUNTER_ROWS, digest_seq)
             .into_iter()
             .map(counter_row_to_pb)
             .collect(),
         verdicts: node
-            .learning
+            .version_stats
             .verdicts(now_ms)
             .into_iter()
             .map(verdict_to_pb)
@@ -145,7 +145,7 @@
 /// Encodes the known version sets, for a peer that asks for them or for the first digest of this
 /// box.
 fn version_sets_to_pb(node: &Node) -> Vec<pb::VersionSet> {
-    let sets = node.learning.version_sets();
+    let sets = node.version_stats.version_sets();
     sets.iter()
         .map(|set| pb::VersionSet {
             id: set.id(),
@@ -158,14 +158,14 @@
 fn merge_loads(node: &Node, digest: &pb::Digest, now_ms: u64) -> bool {
     for set in &digest.version_sets {
         let names = set.versions.iter().map(|v| Name::from(v.as_str()));
-        node.learning.add_version_set(names.collect());
+        node.version_stats.add_version_set(names.collect());
     }
     let mut unknown_set = false;
     let reports: Vec<(u64, LoadReport)> = digest
         .loads
         .iter()
         .filter_map(|load| {
-            let versions = node.learning.version_set(load.versions_id);
+            let versions = node.version_stats.version_set(load.versions_id);
             unknown_set |= versions.is_none();
             let report = LoadReport {
                 running: load.running,
@@ -203,10 +203,10 @@
         }
     }
     diff.unknown_version_set = merge_loads(node, digest, now_ms);
-    node.learning
+    node.version_stats
         .merge_counters(digest.tallies.iter().map(counter_row_from_pb));
     for verdict in &digest.verdicts {
-        node.learning
+        node.version_stats
             .merge_verdict(verdict_from_pb(verdict), now_ms);
     }
     diff
--- a/crates/ivyweird/src/duties.rs
+++ b/crates/ivyweird/src/duties.rs
@@ -70,7 +70,7 @@
     for (id, rollout) in &current.config.rollouts {
         let version = VersionRef::new(rollout.model.clone(), rollout.to.clone());
         let counts = node
-            .learning
+            .version_stats
             .across_classes(&version, Some(&rollout.workspace));
         let observation = Observation {
             rated: counts.rated,
--- a/crates/ivyweird/src/engine_call.rs
+++ b/crates/ivyweird/src/engine_call.rs
@@ -47,7 +47,7 @@
         tried: attempts.upstreams.clone(),
         workspace: context.workspace.clone(),
         weight: context.weight(),
-        priority: context.options.priority,
+        priority: context.metadata.priority,
         deadline_ms: context.deadline_ms,
         random: rand::random(),
     }
@@ -90,7 +90,7 @@
     if !error.may_have_run {
         context.mark_not_run();
     }
-    let repeatable = !context.options.at_most_once || !error.may_have_run;
+    let repeatable = !context.metadata.at_most_once || !error.may_have_run;
     let allowed = repeatable
         && error.is_retryable()
         && attempts.upstreams.len() < MAX_ATTEMPTS
@@ -107,7 +107,7 @@
     let code = match error.fault {
         Fault::TimedOut => Code::DeadlinePassed,
         Fault::Truncated | Fault::Mismatched => Code::UpstreamTruncated,
-        _ if context.options.at_most_once && error.may_have_run => Code::OutcomeUnknown,
+        _ if context.metadata.at_most_once && error.may_have_run => Code::OutcomeUnknown,
         _ => Code::UpstreamFailed,
     };
     context.adjust_refusal(Refusal::not_run(code, format!("upstream: {error}")))
@@ -136,9 +136,9 @@
     );
     if is_attributable {
         let (epoch_ms, now_ms) = (Clock::epoch_ms(), node.clock.now_ms());
-        if node.learning.record_answer(observation, epoch_ms) {
+        if node.version_stats.record_answer(observation, epoch_ms) {
             node.metrics.verdict_changes.add(1, &[]);
-            let verdict = if node.learning.is_bad(&version, now_ms) {
+            let verdict = if node.version_stats.is_bad(&version, now_ms) {
                 "bad"
             } else {
                 "good"
@@ -227,7 +227,7 @@
     let id = context.node.unique_name();
     let mut body = request.body.clone();
     // Engines serve lower values first; callers give higher values to more urgent requests.
-    body.insert("priority".into(), (9 - context.options.priority).into());
+    body.insert("priority".into(), (9 - context.metadata.priority).into());
     CompletionRequest::new(version.to_string(), id.as_ref(), body)
 }
 
--- a/crates/ivyweird/src/forward.rs
+++ b/crates/ivyweird/src/forward.rs
@@ -26,8 +26,8 @@
     let opener = context.opener();
     let entry_name = Journal::entry_name(&context.workspace, &context.key);
     let is_local = opener == node.opener();
-    let permit = node.idempotency.begin(&opener, &entry_name);
-    match permit {
+    let decision = node.idempotency.begin(&opener, &entry_name);
+    match decision {
         ExecutionDecision::Run => run_and_store(context, &entry_name, run),
         ExecutionDecision::Completed(reply) => Ok(reply),
         ExecutionDecision::Forward(successor) => forward_to(context, parsed, &successor),
@@ -45,18 +45,18 @@
     entry_name: &ivyweir_policy::Name,
     run: impl FnOnce() -> Result<Reply, Refusal>,
 ) -> Result<Reply, Refusal> {
-    let once = &context.node.idempotency;
+    let idempotency = &context.node.idempotency;
     let outcome = run();
     match &outcome {
-        Ok(reply) => once.finish(entry_name, reply),
-        Err(_) if context.may_have_run() => once.mark_lost(entry_name),
+        Ok(reply) => idempotency.finish(entry_name, reply),
+        Err(_) if context.may_have_run() => idempotency.mark_lost(entry_name),
         Err(refusal) if refusal.code == Code::Duplicate => {
-            once.release(entry_name);
+            idempotency.release(entry_name);
             if let Some(reply) = fetch_stored_reply(context) {
                 return Ok(reply);
             }
         }
-        Err(_) => once.release(entry_name),
+        Err(_) => idempotency.release(entry_name),
     }
     outcome
 }
--- a/crates/ivyweird/src/idempotency.rs
+++ b/crates/ivyweird/src/idempotency.rs
@@ -186,7 +186,7 @@
 
 /// The outcome of claiming a key in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimResult {
+pub enum ClaimWriteOutcome {
     /// The claim is written to the store.
     Granted,
     /// Another request holds the key; this is the incarnation that claimed it.
@@ -197,7 +197,7 @@
 
 /// Claims a key in the store. The request goes through the box that owns the key's shard; without a
 /// definite reply from it, or if this box is the owner, the claim is written directly.
-pub fn claim_key(node: &Node, workspace: &str, key: &str, nonce: &Name) -> ClaimResult {
+pub fn claim_key(node: &Node, workspace: &str, key: &str, nonce: &Name) -> ClaimWriteOutcome {
     let request = pb::ClaimRequest {
         workspace: workspace.to_owned(),
         key: key.to_owned(),
@@ -219,36 +219,36 @@
         && let Ok(reply) = node.peers.claim(&owner.peer_addr, request.clone())
         && reply.status() != pb::ClaimStatus::ClaimUnknown
     {
-        return claim_result(&reply);
+        return claim_write_outcome(&reply);
     }
     // The conditional update guards against concurrent writers, so writing the claim here is
     // equally safe. Repeating a claim with the same nonce cannot take the key twice.
     write_claim(node, &request)
 }
 
-fn claim_result(reply: &pb::ClaimReply) -> ClaimResult {
+fn claim_write_outcome(reply: &pb::ClaimReply) -> ClaimWriteOutcome {
     match reply.status() {
-        pb::ClaimStatus::ClaimGranted => ClaimResult::Granted,
-        pb::ClaimStatus::ClaimTaken => ClaimResult::Taken(Incarnation {
+        pb::ClaimStatus::ClaimGranted => ClaimWriteOutcome::Granted,
+        pb::ClaimStatus::ClaimTaken => ClaimWriteOutcome::Taken(Incarnation {
             box_name: reply.holder_box.as_str().into(),
             number: reply.holder_incarnation,
         }),
-        _ => ClaimResult::NotWritten,
+        _ => ClaimWriteOutcome::NotWritten,
     }
 }
 
 /// Encodes the outcome of a claim as a reply to a peer.
-pub fn claim_reply(claimed: &ClaimResult) -> pb::ClaimReply {
+pub fn claim_reply(claimed: &ClaimWriteOutcome) -> pb::ClaimReply {
     let status = match claimed {
-        ClaimResult::Granted => pb::ClaimStatus::ClaimGranted,
-        ClaimResult::Taken(_) => pb::ClaimStatus::ClaimTaken,
-        ClaimResult::NotWritten => pb::ClaimStatus::ClaimNotWritten,
+        ClaimWriteOutcome::Granted => pb::ClaimStatus::ClaimGranted,
+        ClaimWriteOutcome::Taken(_) => pb::ClaimStatus::ClaimTaken,
+        ClaimWriteOutcome::NotWritten => pb::ClaimStatus::ClaimNotWritten,
     };
     let mut reply = pb::ClaimReply {
         status: status.into(),
         ..Default::default()
     };
-    if let ClaimResult::Taken(holder) = claimed {
+    if let ClaimWriteOutcome::Taken(holder) = claimed {
         reply.holder_box = holder.box_name.to_string();
         reply.holder_incarnation = holder.number;
     }
@@ -256,7 +256,7 @@
 }
 
 /// Writes a claim to the journal of its shard by conditional update.
-pub fn write_claim(node: &Node, request: &pb::ClaimRequest) -> ClaimResult {
+pub fn write_claim(node: &Node, request: &pb::ClaimRequest) -> ClaimWriteOutcome {
     let shard = claim::shard(&request.workspace, &request.key);
     let _guard = lock(&node.idempotency.journal_locks[shard as usize]);
     let object = format!("claims/{shard:04}");
@@ -269,10 +269,10 @@
             Ok(Some(claimed)) => return claimed,
             Ok(None) => {}
             Err(ErrorKind::OutcomeUnknown) => {}
-            Err(_) => return ClaimResult::NotWritten,
+            Err(_) => return ClaimWriteOutcome::NotWritten,
         }
     }
-    ClaimResult::NotWritten
+    ClaimWriteOutcome::NotWritten
 }
 
 /// Makes one attempt to read and conditionally write the journal. Returns `None` if another writer
@@ -281,7 +281,7 @@
     node: &Node,
     object: &str,
     request: &pb::ClaimRequest,
-) -> Result<Option<ClaimResult>, ErrorKind> {
+) -> Result<Option<ClaimWriteOutcome>, ErrorKind> {
     node.metrics.count_store_call("claim_read");
     let stored = node.claim_store.get(object).map_err(|e| e.kind())?;
     let (mut journal, expect) = match &stored {
@@ -306,8 +306,8 @@
     };
     let outcome = journal.claim(entry, claim);
     let claimed = match outcome {
-        ClaimOutcome::Granted => ClaimResult::Granted,
-        ClaimOutcome::Taken(holder) => ClaimResult::Taken(holder),
+        ClaimOutcome::Granted => ClaimWriteOutcome::Granted,
+        ClaimOutcome::Taken(holder) => ClaimWriteOutcome::Taken(holder),
     };
     if already_claimed {
         return Ok(Some(claimed));
--- a/crates/ivyweird/src/lib.rs
+++ b/crates/ivyweird/src/lib.rs
@@ -136,7 +136,7 @@
 }
 
 fn spawn_background_threads(node: &Arc<Node>) -> io::Result<Vec<JoinHandle<()>>> {
-    let load_round = Arc::new(load_polling::PollQueue::new());
+    let poll_queue = Arc::new(load_polling::PollQueue::new());
     let mut threads = vec![
         spawn("exchange", node, document_sync::run_exchanges)?,
         spawn("watch-config", node, document_sync::watch_config)?,
@@ -147,14 +147,14 @@
         spawn("duties", node, duties::run)?,
         spawn("rate", node, rating::run)?,
     ];
-    let round = load_round.clone();
+    let queue = poll_queue.clone();
     threads.push(spawn("plan-loads", node, move |node| {
-        load_polling::schedule_polls(node, &round)
+        load_polling::schedule_polls(node, &queue)
     })?);
     for _ in 0..load_polling::THREAD_COUNT {
-        let round = load_round.clone();
+        let queue = poll_queue.clone();
         threads.push(spawn("ask-loads", node, move |node| {
-            load_polling::poll_upstreams(node, &round)
+            load_polling::poll_upstreams(node, &queue)
         })?);
     }
     Ok(threads)
@@ -179,7 +179,7 @@
         // If the store is unavailable, the next iteration writes the same segment.
         let _retried_in_next_iteration = segments::flush(node);
         segments::flush_for_departed(node);
-        node.learning.remove_expired(clock::Clock::epoch_ms());
+        node.version_stats.remove_expired(clock::Clock::epoch_ms());
         node.metrics
             .billing_pending
             .record(node.ledger.pending() as u64, &[]);
--- a/crates/ivyweird/src/load_polling.rs
+++ b/crates/ivyweird/src/load_polling.rs
@@ -104,7 +104,7 @@
             continue;
         };
         let versions: VersionSet = load.versions.iter().map(|v| v.as_str().into()).collect();
-        node.learning.add_version_set(versions.clone());
+        node.version_stats.add_version_set(versions.clone());
         let report = LoadReport {
             running: load.running,
             waiting: load.waiting,
--- a/crates/ivyweird/src/node.rs
+++ b/crates/ivyweird/src/node.rs
@@ -62,7 +62,7 @@
     /// Upstreams and the queues of requests that wait for them.
     pub dispatcher: Dispatcher,
     /// Quality estimates and verdicts, by version.
-    pub learning: VersionStats,
+    pub version_stats: VersionStats,
     /// Answers that wait to be rated.
     pub rating_queue: RatingQueue,
     /// Billing records that are not in the store yet.
@@ -129,7 +129,7 @@
             rater,
             peers: Client::new(settings.fleet_key())?,
             dispatcher: Dispatcher::new(&settings),
-            learning: VersionStats::new(&incarnation),
+            version_stats: VersionStats::new(&incarnation),
             rating_queue: RatingQueue::new(),
             ledger: Ledger::new(settings.limits.max_billing_bytes),
             idempotency: IdempotencyKeys::new(&incarnation),
--- a/crates/ivyweird/src/operator_api.rs
+++ b/crates/ivyweird/src/operator_api.rs
@@ -294,10 +294,10 @@
     });
     versions
         .map(|version| {
-            let counts = node.learning.across_classes(&version, None);
+            let counts = node.version_stats.across_classes(&version, None);
             let version_name: Name = version.to_string().into();
             ExposureStatus {
-                bad: node.learning.is_bad(&version_name, now_ms),
+                bad: node.version_stats.is_bad(&version_name, now_ms),
                 version: version_name,
                 done: counts.done,
                 failed: counts.failed,
--- a/crates/ivyweird/src/rating.rs
+++ b/crates/ivyweird/src/rating.rs
@@ -72,7 +72,7 @@
         };
         node.metrics.ratings.add(1, &[]);
         let epoch_ms = Clock::epoch_ms();
-        let changed = node.learning.record_rating(
+        let changed = node.version_stats.record_rating(
             &sample.observation,
             score,
             sample.expected_quality,
--- a/crates/ivyweird/src/route.rs
+++ b/crates/ivyweird/src/route.rs
@@ -156,7 +156,7 @@
     let node = context.node;
     node.settings.policy.guard
         && node
-            .learning
+            .version_stats
             .is_bad(&version.to_string(), node.clock.now_ms())
 }
 
@@ -191,7 +191,7 @@
         prior_quality: entry.prior_quality,
         buckets: context
             .node
-            .learning
+            .version_stats
             .by_bucket(version, &context.class, now_ms),
         is_bad: is_bad(context, version),
         version: version.clone(),
@@ -241,7 +241,7 @@
         quality_target: workspace.map_or(1.0, |w| w.quality_target),
         may_cascade: settings.cascade
             && !request.stream
-            && !context.options.at_most_once
+            && !context.metadata.at_most_once
             && context.remaining_ms() >= MIN_CASCADE_TIME_MS,
     };
     if let Some(choice) = model_selection::explore(candidates, constraints, random_permille()) {
--- a/crates/ivyweird/src/service_call.rs
+++ b/crates/ivyweird/src/service_call.rs
@@ -127,7 +127,7 @@
         tried: tried.to_vec(),
         workspace: context.workspace.clone(),
         weight: context.weight(),
-        priority: context.options.priority,
+        priority: context.metadata.priority,
         deadline_ms: context.deadline_ms,
         random: rand::random(),
     }
@@ -151,8 +151,8 @@
         call.method.as_str(),
         "GET" | "HEAD" | "OPTIONS" | "PUT" | "DELETE"
     );
-    let repeatable = !context.options.at_most_once
-        && (is_idempotent_method || context.options.request_key.is_some());
+    let repeatable = !context.metadata.at_most_once
+        && (is_idempotent_method || context.metadata.request_key.is_some());
     let allowed = (repeatable || !error.may_have_run)
         && tried.len() < engine_call::MAX_ATTEMPTS
         && context.remaining_ms() > 0
--- a/tools/mutations.sh
+++ b/tools/mutations.sh
@@ -33,8 +33,8 @@
 
 only=${1:-}
 d=crates/ivyweird/src p=crates/ivyweir-policy/src e=crates/ivyweir-engine/src
-mutate skip_claim $d/context.rs 's/claimed: Cell::new\(!options.at_most_once\)/claimed: Cell::new(true)/' ivyweird once a_key_sent_to_all
-mutate repeat_after_send $d/service_call.rs 's/let repeatable =\s*!context.options.at_most_once\s*&&/let repeatable = true ||/' ivyweird once a_connection_that_breaks
+mutate skip_claim $d/context.rs 's/claimed: Cell::new\(!metadata.at_most_once\)/claimed: Cell::new(true)/' ivyweird once a_key_sent_to_all
+mutate repeat_after_send $d/service_call.rs 's/let repeatable =\s*!context.metadata.at_most_once\s*&&/let repeatable = true ||/' ivyweird once a_connection_that_breaks
 mutate drop_replica $d/replica.rs 's/if !node\s*\.peers\s*\.hold\(&member\.peer_addr, request\)\s*\.unwrap_or\(false\)\s*\{\s*return None;\s*\}/drop(request);/' ivyweird billing a_replica_writes
 mutate bill_by_segment $p/billing.rs 's/let id = \(record.workspace.clone\(\), record.key.clone\(\)\);/let id = (record.workspace.clone(), format!("{}{}", record.key, record.at_ms).into());/' ivyweird billing a_repeated_key
 mutate lower_generation $d/config.rs 's/if config.generation < active.config.generation \{\s*return OfferOutcome::Older;\s*\}//' ivyweird config a_store_that_is_set_back
