--- a/crates/ivyweir-gateway/src/apply.rs
+++ b/crates/ivyweir-gateway/src/apply.rs
@@ -181,7 +181,7 @@
         gateway.set_default_version(&order.pool, &order.target_version);
     }
     gateway.with_rollouts(|rollouts, now_ms| match rollouts.get_mut(&order.pool) {
-        Some(track) => track.update(order, now_ms),
+        Some(tracker) => tracker.update(order, now_ms),
         None => {
             rollouts.insert(order.pool.clone(), RolloutTracker::new(order, now_ms));
         }
--- a/crates/ivyweir-gateway/src/attempt.rs
+++ b/crates/ivyweir-gateway/src/attempt.rs
@@ -113,7 +113,7 @@
             .with_load(id, |load, now_ms| load.record_outcome(failed, now_ms));
     }
 
-    /// Records that the connection broke, and probes whether the upstream itself has ended.
+    /// Records that the connection broke, and probes whether the upstream itself has terminated.
     pub fn record_broken_connection(&mut self) {
         self.record_outcome(true);
         self.end_run(RunEnd::ConnectionLost);
@@ -188,8 +188,9 @@
     let mut in_flight =
         InFlightRequest::new(gateway.clone(), upstream.clone(), estimate, job.run_key());
     // The upstream may have closed a pooled connection in the meantime, so a failure to send on one is retried on a new
-    // connection. A request whose connection just broke gets a new connection at once: if many upstreams end at the
-    // same time, a pooled connection may lead to another ended one, and the request would be suspected of that end too.
+    // connection. A request whose connection just broke gets a new connection at once: if many upstreams terminate
+    // at the same time, a pooled connection may lead to another terminated one, and the request would be suspected of
+    // that termination too.
     let mut pooled = if gateway.suspicion(job.fingerprint) != Suspicion::None {
         None
     } else {
--- a/crates/ivyweir-gateway/src/canary.rs
+++ b/crates/ivyweir-gateway/src/canary.rs
@@ -50,11 +50,11 @@
     sample: &AnswerSample,
 ) {
     let condemned = gateway.with_rollouts(|rollouts, now_ms| {
-        let track = rollouts.get_mut(&job.pool)?;
-        let side = track.side_of(&upstream.version);
-        track
+        let tracker = rollouts.get_mut(&job.pool)?;
+        let side = tracker.side_of(&upstream.version);
+        tracker
             .record_answer(side, sample, now_ms)
-            .then(|| track.total_tally())
+            .then(|| tracker.total_tally())
     });
     if let Some(tally) = condemned {
         gateway.log_condemned(&job.pool, &tally);
--- a/crates/ivyweir-gateway/src/dialect.rs
+++ b/crates/ivyweir-gateway/src/dialect.rs
@@ -21,19 +21,19 @@
 use ivyweir_policy::gateway::statement::{Source, Statement};
 use serde::{Deserialize, Serialize};
 
-/// A segment of a prompt that other prompts may share.
+/// A part of a prompt that other prompts may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Hash of the segment's id.
+    /// Hash of the part's id.
     pub id_hash: u64,
-    /// Length of the segment in tokens.
+    /// Length of the part in tokens.
     pub tokens: u32,
 }
 
 /// Request metadata that a caller sends in headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// Id of this attempt.
+    /// Id of this try of the request.
     pub request_id: Option<Name>,
     /// Time until the caller gives up.
     pub budget_ms: Option<u64>,
@@ -43,7 +43,7 @@
     pub auto_model: bool,
     /// Expected number of output tokens: the caller's estimate, or its limit if it gave none.
     pub expected_output_tokens: Option<u32>,
-    /// Segments of the prompt in order. The last one belongs to this request or its session.
+    /// Parts of the prompt in order. The last one belongs to this request or its session.
     pub prompt_parts: Vec<PromptPart>,
     /// Last event that the caller received; a stream resumes after it.
     pub last_event_id: Option<u64>,
--- a/crates/ivyweir-gateway/src/duties.rs
+++ b/crates/ivyweir-gateway/src/duties.rs
@@ -30,9 +30,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Time-out of a duty's call. A call is sent only if the lease outlasts it.
+/// Timeout of a duty's call. A call is sent only if the lease outlasts it.
 const MAX_CALL_TIMEOUT_MS: u64 = 1_000;
-/// With a short lease, the time-out is the lease duration divided by this.
+/// With a short lease, the timeout is the lease duration divided by this.
 const CALL_TIMEOUT_LEASE_DIVISOR: u64 = 3;
 
 /// Performs the duties for the lifetime of the process.
@@ -199,23 +199,23 @@
         self.call_store(request).await
     }
 
-    /// Sends a read or write of the record, and processes the state of the record in the answer.
+    /// Sends a read or write of the record, and processes the state of the record in the response.
     async fn call_store(&mut self, request: Request<Bytes>) -> Result<(), CallError> {
-        let answer = self.store.call(request, RESPONSE_TIMEOUT).await;
-        let outcome = if answer.is_ok() { "ok" } else { "failed" };
+        let response = self.store.call(request, RESPONSE_TIMEOUT).await;
+        let outcome = if response.is_ok() { "ok" } else { "failed" };
         let calls = &self.gateway.metrics.store_calls;
         calls.with_label_values(&["duties", outcome]).inc();
-        let answer = answer?;
-        let stored = match answer.status {
+        let response = response?;
+        let stored = match response.status {
             StatusCode::OK | StatusCode::CREATED | StatusCode::CONFLICT => {
-                let stored = self.gateway.store_codec.decode_duties(&answer.body);
+                let stored = self.gateway.store_codec.decode_duties(&response.body);
                 Some(stored.map_err(CallError::unreadable)?)
             }
             StatusCode::NOT_FOUND => None,
             status => return Err(CallError::refused(status)),
         };
         self.lease
-            .observe(stored, answer.era, self.gateway.clock.now_ms());
+            .observe(stored, response.era, self.gateway.clock.now_ms());
         if let Some(window) = self.lease.record().and_then(|record| record.fixed_window) {
             self.gateway.note_fixed_usage_window(window);
         }
--- a/crates/ivyweir-gateway/src/duties/calls.rs
+++ b/crates/ivyweir-gateway/src/duties/calls.rs
@@ -84,14 +84,14 @@
         duty: &str,
         request: Request<Bytes>,
     ) -> Result<StatusCode, CallError> {
-        let answer = self.platform.call(request, self.call_timeout).await;
-        let outcome = match &answer {
-            Ok(answer) if answer.status.is_success() => "ok",
+        let response = self.platform.call(request, self.call_timeout).await;
+        let outcome = match &response {
+            Ok(response) if response.status.is_success() => "ok",
             Ok(_) => "refused",
             Err(_) => "failed",
         };
         let calls = &self.gateway.metrics.duty_calls;
         calls.with_label_values(&[duty, outcome]).inc();
-        Ok(answer?.status)
+        Ok(response?.status)
     }
 }
--- a/crates/ivyweir-gateway/src/error_response.rs
+++ b/crates/ivyweir-gateway/src/error_response.rs
@@ -36,7 +36,7 @@
         /// Time after which the caller should retry.
         retry_after_ms: u64,
     },
-    /// Upstreams ended during earlier attempts of the request, so it is quarantined.
+    /// Upstreams terminated during earlier attempts of the request, so it is quarantined.
     Quarantined,
     /// The deadline passed before any upstream accepted the request.
     DeadlineExceededNotRun,
--- a/crates/ivyweir-gateway/src/follow.rs
+++ b/crates/ivyweir-gateway/src/follow.rs
@@ -97,8 +97,8 @@
         let age_ms = i64::try_from(self.proof_age_ms?).unwrap_or(i64::MAX);
         // The response was sent at least `held_ms` after the request, so its proof is no older than
         // this.
-        let answered_at_ms = requested_at_ms.saturating_add(self.held_ms).min(now_ms);
-        Some(answered_at_ms.cast_signed().saturating_sub(age_ms))
+        let responded_at_ms = requested_at_ms.saturating_add(self.held_ms).min(now_ms);
+        Some(responded_at_ms.cast_signed().saturating_sub(age_ms))
     }
 }
 
--- a/crates/ivyweir-gateway/src/headers.rs
+++ b/crates/ivyweir-gateway/src/headers.rs
@@ -35,7 +35,7 @@
     pub prompt_parts: HeaderName,
     /// Session id, the same on all requests of a session.
     pub session: HeaderName,
-    /// Scheduling rank at the engine, 0 first.
+    /// Priority in the engine's queue, 0 first.
     pub urgency: HeaderName,
     /// The upstream's signature of its response.
     pub signature: HeaderName,
--- a/crates/ivyweir-gateway/src/history.rs
+++ b/crates/ivyweir-gateway/src/history.rs
@@ -90,7 +90,7 @@
 /// State of the store as seen by this box's own requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum StoreStatus {
-    /// No request was answered or failed yet.
+    /// No request received a response or failed yet.
     #[default]
     Untried,
     /// The store responds in time.
--- a/crates/ivyweir-gateway/src/join.rs
+++ b/crates/ivyweir-gateway/src/join.rs
@@ -26,10 +26,10 @@
 /// Interval between later joins.
 const JOIN_INTERVAL_MS: u64 = 2_000;
 /// Connection timeout while this box starts. After a power loss on all boxes, a seed that is not
-/// back yet does not answer, and the SYN would be retransmitted only after a second.
+/// back yet does not respond, and the SYN would be retransmitted only after a second.
 const STARTUP_CONNECT_LIMIT: Duration = Duration::from_millis(60);
 /// Response timeout of a seed.
-const ANSWER_LIMIT: Duration = Duration::from_millis(400);
+const RESPONSE_LIMIT: Duration = Duration::from_millis(400);
 /// Maximum size of a join request.
 const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
@@ -82,8 +82,8 @@
 }
 
 impl Joiner {
-    /// Joins at the next seed in turn, or at another one if it does not answer. Reloads the seeds
-    /// and tries a known box if no seed answers. Returns the uptime of the box that answered.
+    /// Joins at the next seed in turn, or at another one if it does not respond. Reloads the seeds
+    /// and tries a known box if no seed responds. Returns the uptime of the box that responded.
     async fn join_any(&mut self) -> Option<u64> {
         let seeds = self.gateway.peers.seeds();
         self.round += 1;
@@ -108,28 +108,28 @@
         if !gateway.peers.is_membership_ready() {
             client.connect(STARTUP_CONNECT_LIMIT).await.ok()?;
         }
-        let answer = box_call::post(client, JOIN_PATH, &message, ANSWER_LIMIT).await;
-        let answer: JoinResponse = match answer {
-            Ok(answer) => answer,
+        let response = box_call::post(client, JOIN_PATH, &message, RESPONSE_LIMIT).await;
+        let response: JoinResponse = match response {
+            Ok(response) => response,
             Err(_) => {
                 self.clients.remove(&seed);
                 return None;
             }
         };
         let now_ms = gateway.clock.now_ms();
-        if let Some(update) = &answer.update {
+        if let Some(update) = &response.update {
             let detail = json!({
                 "seed": seed, "boxes": update.boxes.len(), "gone": update.gone.len(), "whole": update.is_whole,
             });
             gateway.log.line("boxes_heard", detail);
         }
-        gateway.peers.apply_seed_list(seed, answer.update, now_ms);
-        gateway.peers.set_fleet_size(answer.fleet_size);
-        if let Some(in_ms) = answer.store_settles_in_ms {
+        gateway.peers.apply_seed_list(seed, response.update, now_ms);
+        gateway.peers.set_fleet_size(response.fleet_size);
+        if let Some(in_ms) = response.store_settles_in_ms {
             gateway.note_store_settles_in(in_ms);
         }
         gateway.peers.record_joined(now_ms);
-        Some(answer.up_ms)
+        Some(response.up_ms)
     }
 
     /// Updates whether the fleet is starting, and whether the list of boxes is complete enough to
--- a/crates/ivyweir-gateway/src/liveness.rs
+++ b/crates/ivyweir-gateway/src/liveness.rs
@@ -1,7 +1,7 @@
-//! Probes an upstream after a connection to it broke, to find out whether its process has ended.
+//! Probes an upstream after a connection to it broke, to find out whether its process has terminated.
 //!
 //! A single connection may break while the upstream runs on: the network resets it, or the upstream closes it in the
-//! middle of a response. When the process ends, all its connections break and nothing listens at its address.
+//! middle of a response. When the process terminates, all its connections break and nothing listens at its address.
 
 use std::io;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
             Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
                 gateway.record_upstream_termination(&upstream);
             }
-            // Any other error, such as a time-out, is inconclusive: the network path may be down.
+            // Any other error, such as a timeout, is inconclusive: the network path may be down.
             Err(_) => {}
         }
         // Last: requests that wait for the probe act on its result.
--- a/crates/ivyweir-gateway/src/metrics.rs
+++ b/crates/ivyweir-gateway/src/metrics.rs
@@ -20,7 +20,7 @@
     pub upstream_statements: IntCounterVec,
     /// Responses with a header that has the dialect's prefix but is not read, by header name.
     pub unread_headers: IntCounterVec,
-    /// Upstreams that ended while they had requests of this box, by pool.
+    /// Upstreams that terminated while they had requests of this box, by pool.
     pub upstream_ends: IntCounterVec,
     /// Store records that became invalid, by topic and fault. Each is counted once, when it becomes
     /// invalid.
--- a/crates/ivyweir-gateway/src/peers.rs
+++ b/crates/ivyweir-gateway/src/peers.rs
@@ -42,11 +42,11 @@
     max_ms: 3_000,
 };
 
-/// The totals of all boxes' work and repeats, and when they were computed.
+/// The totals of all boxes' work and retry counts, and when they were computed.
 #[derive(Debug)]
 struct FleetTotals {
     work: Work,
-    repeats: PoolRetryCounts,
+    retry_counts: PoolRetryCounts,
     at_ms: u64,
 }
 
@@ -352,7 +352,7 @@
         lock(&self.reports).sum_except(except, now_ms)
     }
 
-    /// The work and the repeats of all boxes, as far as they are reported; `own` is this box's
+    /// The work and the retry counts of all boxes, as far as they are reported; `own` is this box's
     /// report. Totals younger than `max_age_ms` are returned again without being recomputed.
     pub fn fleet_totals(
         &self,
@@ -361,18 +361,21 @@
         own: &PeerReport,
     ) -> (Work, PoolRetryCounts) {
         let mut known = lock(&self.fleet_totals);
-        if let Some(sum) = known.as_ref().filter(|sum| now_ms < sum.at_ms + max_age_ms) {
-            return (sum.work.clone(), sum.repeats.clone());
+        if let Some(totals) = known
+            .as_ref()
+            .filter(|totals| now_ms < totals.at_ms + max_age_ms)
+        {
+            return (totals.work.clone(), totals.retry_counts.clone());
         }
-        let (mut work, mut repeats) = lock(&self.reports).work_and_retries(now_ms);
+        let (mut work, mut retry_counts) = lock(&self.reports).work_and_retries(now_ms);
         add_work(&mut work, &own.work);
-        add_retry_counts(&mut repeats, &own.repeats);
+        add_retry_counts(&mut retry_counts, &own.repeats);
         *known = Some(FleetTotals {
             work: work.clone(),
-            repeats: repeats.clone(),
+            retry_counts: retry_counts.clone(),
             at_ms: now_ms,
         });
-        (work, repeats)
+        (work, retry_counts)
     }
 
     /// The roll-out counts that boxes other than `except` reported recently.
--- a/crates/ivyweir-gateway/src/quarantine_sync.rs
+++ b/crates/ivyweir-gateway/src/quarantine_sync.rs
@@ -94,21 +94,21 @@
     /// operator. Quarantines that no box knows any more are restored.
     async fn refresh(&mut self) -> Result<(), CallError> {
         let request = self.gateway.store_codec.list_quarantines();
-        let answer = self.call(request).await?;
+        let response = self.call(request).await?;
         // A store that never held such a record may not know its kind.
-        let records = match answer.status {
-            StatusCode::OK => self.decode_records(&answer)?,
+        let records = match response.status {
+            StatusCode::OK => self.decode_records(&response)?,
             StatusCode::NOT_FOUND => Vec::new(),
             status => return Err(CallError::refused(status)),
         };
         let listed: HashSet<Fingerprint> = records.iter().map(|r| r.fingerprint).collect();
         // After a restore, a missing record may be lost rather than removed by an operator. Its quarantine
         // stays in force, and `poll` writes the record again.
-        if answer.era == self.listed_era {
+        if response.era == self.listed_era {
             let lifted = self.stored.difference(&listed).copied();
             self.gateway.lift_quarantines(lifted.collect());
         }
-        self.listed_era = answer.era;
+        self.listed_era = response.era;
         self.gateway.restore_quarantines(&records);
         self.stored = listed;
         self.refreshed_at_ms = Some(self.gateway.clock.now_ms());
@@ -116,8 +116,8 @@
     }
 
     /// Decodes the records of a listing; logs and skips those that cannot be decoded.
-    fn decode_records(&self, answer: &StoreResponse) -> Result<Vec<QuarantineRecord>, CallError> {
-        let entries = self.gateway.store_codec.decode_quarantines(&answer.body);
+    fn decode_records(&self, response: &StoreResponse) -> Result<Vec<QuarantineRecord>, CallError> {
+        let entries = self.gateway.store_codec.decode_quarantines(&response.body);
         let mut records = Vec::new();
         for entry in entries.map_err(CallError::unreadable)? {
             match entry {
@@ -151,19 +151,19 @@
         request: Request<Bytes>,
         accepted: &[StatusCode],
     ) -> Result<(), CallError> {
-        let answer = self.call(request).await?;
-        if accepted.contains(&answer.status) {
+        let response = self.call(request).await?;
+        if accepted.contains(&response.status) {
             Ok(())
         } else {
-            Err(CallError::refused(answer.status))
+            Err(CallError::refused(response.status))
         }
     }
 
     async fn call(&mut self, request: Request<Bytes>) -> Result<StoreResponse, CallError> {
-        let answer = self.client.call(request, RESPONSE_TIMEOUT).await;
-        let outcome = if answer.is_ok() { "ok" } else { "failed" };
+        let response = self.client.call(request, RESPONSE_TIMEOUT).await;
+        let outcome = if response.is_ok() { "ok" } else { "failed" };
         let calls = &self.gateway.metrics.store_calls;
         calls.with_label_values(&["quarantines", outcome]).inc();
-        answer
+        response
     }
 }
--- a/crates/ivyweir-gateway/src/reports.rs
+++ b/crates/ivyweir-gateway/src/reports.rs
@@ -125,12 +125,12 @@
     } else {
         RESPONSE_LIMIT
     };
-    let answer = box_call::post::<PeerReportMessage>(client, REPORT_PATH, message, limit).await;
+    let response = box_call::post::<PeerReportMessage>(client, REPORT_PATH, message, limit).await;
     let now_ms = gateway.clock.now_ms();
-    match answer {
-        Ok(answer) => {
+    match response {
+        Ok(response) => {
             gateway.peers.record_response(&to.name);
-            apply_message(gateway, answer, now_ms);
+            apply_message(gateway, response, now_ms);
         }
         Err(_) => {
             clients.remove(&to.peer_addr);
@@ -181,11 +181,11 @@
     report
 }
 
-/// Returns the report for a box of this hall: all work and repeats, including its own, and the
+/// Returns the report for a box of this hall: all work and retry counts, including its own, and the
 /// roll-out counts of all others.
 fn report_for(gateway: &Gateway, sender: &Name, now_ms: u64) -> PeerReport {
     let own = gateway.local_report();
-    let (work, repeats) = gateway
+    let (work, retry_counts) = gateway
         .peers
         .fleet_totals(FLEET_TOTALS_MAX_AGE_MS, now_ms, &own);
     let mut tallies = gateway.peers.tallies_except(sender, now_ms);
@@ -193,7 +193,7 @@
     PeerReport {
         work,
         tallies,
-        repeats,
+        repeats: retry_counts,
         ..PeerReport::default()
     }
 }
--- a/crates/ivyweir-gateway/src/retry.rs
+++ b/crates/ivyweir-gateway/src/retry.rs
@@ -107,8 +107,8 @@
             }
             AttemptOutcome::Lost => {
                 state.tried.push(choice.upstream.id.clone());
-                // Waits for the liveness probe also before the request fails: its caller may retry at once, and the end
-                // of an upstream affects where the retry is sent.
+                // Waits for the liveness probe also before the request fails: its caller may retry at once, and the
+                // termination of an upstream affects where the retry is sent.
                 gateway
                     .wait_for_termination_check(&choice.upstream.id)
                     .await;
--- a/crates/ivyweir-gateway/src/rollout_driver.rs
+++ b/crates/ivyweir-gateway/src/rollout_driver.rs
@@ -95,7 +95,7 @@
 ) {
     let request = gateway.store_codec.write_rollout(&order);
     let outcome = match client.call(request, RESPONSE_TIMEOUT).await {
-        Ok(answer) => apply_answer(gateway, &answer),
+        Ok(response) => apply_response(gateway, &response),
         Err(e) => Err(e.to_string()),
     };
     let counts = gateway.with_rollouts(|rollouts, _| {
@@ -117,16 +117,16 @@
     }
 }
 
-/// Applies the record in the answer; returns whether it was written by this box or another, or why that is unknown.
-fn apply_answer(gateway: &Gateway, answer: &StoreResponse) -> Result<&'static str, String> {
-    let outcome = match answer.status {
+/// Applies the record in the response; returns whether it was written by this box or another, or why that is unknown.
+fn apply_response(gateway: &Gateway, response: &StoreResponse) -> Result<&'static str, String> {
+    let outcome = match response.status {
         StatusCode::OK => "written",
         StatusCode::CONFLICT => "conflict",
         status => return Err(format!("status {}", status.as_u16())),
     };
-    let record = gateway.store_codec.decode_rollout(&answer.body);
+    let record = gateway.store_codec.decode_rollout(&response.body);
     let mut record = record.map_err(|e| e.to_string())?;
-    record.era = answer.era;
+    record.era = response.era;
     apply_rollout(gateway, record);
     Ok(outcome)
 }
--- a/crates/ivyweir-gateway/src/settings.rs
+++ b/crates/ivyweir-gateway/src/settings.rs
@@ -111,7 +111,7 @@
     pub confidence_floor: u8,
     /// Whether the speed of engines is estimated from their responses.
     pub learn_pace: bool,
-    /// Whether requests with a shared prompt segment are preferably sent to an engine that has it
+    /// Whether requests with a shared prompt part are preferably sent to an engine that has it
     /// cached.
     pub draw_shared: bool,
     /// Whether requests carry a priority for the engine's queue.
--- a/crates/ivyweir-gateway/src/state.rs
+++ b/crates/ivyweir-gateway/src/state.rs
@@ -101,7 +101,7 @@
     usage: Mutex<UsageCounter>,
     /// Records of the store that cannot be decoded.
     unreadable_records: Mutex<UnreadableRecords>,
-    /// Headers of answers that no code reads.
+    /// Headers of responses that no code reads.
     unread_headers: Mutex<UnreadHeaders>,
     /// Number of updates in which incarnations of upstreams were replaced.
     replacements: watch::Sender<u64>,
@@ -300,7 +300,7 @@
     }
 
     /// Handles a suspension of the machine that lasted for `lasted_ms`. Ages already include that time. Waiting tasks
-    /// are woken to check them again, and answers that the store still owes are no longer awaited.
+    /// are woken to check them again, and responses that the store still owes are no longer awaited.
     pub fn handle_suspension(&self, lasted_ms: u64) {
         let detail = json!({"lasted_ms": lasted_ms, "proof_age_ms": self.proof_age_ms()});
         self.log.line("woke", detail);
--- a/crates/ivyweir-gateway/src/state/freshness.rs
+++ b/crates/ivyweir-gateway/src/state/freshness.rs
@@ -13,7 +13,7 @@
 const NOT_FOUND_MAX_PROOF_AGE_MS: u64 = 3_000;
 
 impl Gateway {
-    /// Records that the store answered a question about the configuration asked at `asked_at_ms`.
+    /// Records that the store responded to a request about the configuration sent at `asked_at_ms`.
     ///
     /// Does nothing if a restored store had not settled by then, because it may have lost the revocation of a key.
     pub fn renew_proof(&self, asked_at_ms: i64) {
--- a/crates/ivyweir-gateway/src/state/quarantine.rs
+++ b/crates/ivyweir-gateway/src/state/quarantine.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// What happened to upstreams running a request since its last complete answer.
+/// What happened to upstreams running a request since its last complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Suspicion {
     /// No connection broke and no upstream terminated.
@@ -98,7 +98,7 @@
         quarantine.runs.end(upstream, key, end, now_ms);
     }
 
-    /// Records that a request received a complete answer.
+    /// Records that a request received a complete response.
     pub fn record_run_completion(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
         let changes = {
@@ -153,7 +153,7 @@
             .record_broken_connection(fingerprint, now_ms);
     }
 
-    /// What happened to upstreams running this request since its last complete answer.
+    /// What happened to upstreams running this request since its last complete response.
     pub fn suspicion(&self, fingerprint: Fingerprint) -> Suspicion {
         let quarantine = lock(&self.quarantine);
         if quarantine.ledger.is_suspect(fingerprint) {
@@ -196,7 +196,7 @@
     }
 
     /// Records that these upstreams were replaced by other incarnations. They terminated undetected, because they were
-    /// replaced immediately or were unreachable, and requests sent to them will not be answered.
+    /// replaced immediately or were unreachable, and requests sent to them will not get a response.
     pub(super) fn record_replacements(&self, replaced: &[Arc<UpstreamRecord>]) {
         for upstream in replaced {
             let detail = json!({"upstream": upstream.id, "change": "Replaced"});
--- a/crates/ivyweir-gateway/src/state/statements.rs
+++ b/crates/ivyweir-gateway/src/state/statements.rs
@@ -9,7 +9,7 @@
 use super::{Gateway, lock};
 
 impl Gateway {
-    /// Applies a statement of an upstream, received in an answer or through another box.
+    /// Applies a statement of an upstream, received in a response or through another box.
     pub fn apply_statement(&self, id: &Name, statement: &Statement) {
         let now_ms = self.clock.now_ms();
         let max_backoff_ms = self.settings.policy.max_backoff_ms;
@@ -20,7 +20,8 @@
         if let Some(change) = applied.limit {
             self.log_limit(id, change, statement.source);
         }
-        // A changed or ended limit is sent with the next periodic report, because limits may change with every answer.
+        // A changed or ended limit is sent with the next periodic report, because limits may change with every
+        // response.
         let is_new_limit = matches!(applied.limit, Some(LimitChange::Started(_)));
         let is_urgent = applied.fleet != FleetChange::Nothing || is_new_limit;
         if is_urgent && self.forwards_immediately(statement.source) {
@@ -31,7 +32,7 @@
     fn log_limit(&self, id: &Name, change: LimitChange, source: Source) {
         let per_s = match change {
             // Each box that receives a changed limit from the upstream itself logs it; logging it here too would add
-            // as many lines as there are answers.
+            // as many lines as there are responses.
             LimitChange::Changed(_) if source == Source::Peer => return,
             LimitChange::Started(per_1000_s) | LimitChange::Changed(per_1000_s) => {
                 DeclaredLimit::Per1000S(per_1000_s).requests_per_s()
@@ -88,7 +89,7 @@
         self.urgent_update.notified().await;
     }
 
-    /// Marks an upstream as left because another incarnation answers at its address.
+    /// Marks an upstream as left because another incarnation responds at its address.
     pub fn mark_upstream_left(&self, id: &Name) {
         self.update_fleet(Source::OtherIncarnation, |fleet, _| {
             vec![(id.clone(), fleet.mark_left(id))]
--- a/crates/ivyweir-gateway/src/state/store_era.rs
+++ b/crates/ivyweir-gateway/src/state/store_era.rs
@@ -7,16 +7,16 @@
 /// The store's known era, and when its contents are complete again after a restore.
 #[derive(Debug, Default)]
 pub(super) struct StoreEra {
-    /// The highest one reported so far; `None` until an answer reports one.
+    /// The highest one reported so far; `None` until a response reports one.
     number: Option<u64>,
     /// When the store settles after the last known restore; 0 if none is known.
     settles_at_ms: u64,
 }
 
 impl Gateway {
-    /// Updates the known era from the one reported by an answer, and logs an increase.
+    /// Updates the known era from the one reported by a response, and logs an increase.
     ///
-    /// Returns the era of the answer: the reported one, else the known one, else 0. A lower era
+    /// Returns the era of the response: the reported one, else the known one, else 0. A lower era
     /// does not replace the known one, and the first one reported is not logged.
     pub fn update_store_era(&self, reported: Option<u64>) -> u64 {
         let mut known = lock(&self.store_era);
@@ -38,7 +38,7 @@
         era
     }
 
-    /// The highest store era reported so far; `None` until an answer reports one.
+    /// The highest store era reported so far; `None` until a response reports one.
     pub fn store_era(&self) -> Option<u64> {
         lock(&self.store_era).number
     }
--- a/crates/ivyweir-gateway/src/state/unread_headers.rs
+++ b/crates/ivyweir-gateway/src/state/unread_headers.rs
@@ -1,4 +1,4 @@
-//! Headers of answers that belong to the dialect but that no code reads, so that the upstream's statement has no
+//! Headers of responses that belong to the dialect but that no code reads, so that the upstream's statement has no
 //! effect.
 
 use std::collections::HashSet;
@@ -20,7 +20,7 @@
 pub type UnreadHeaders = HashSet<Name>;
 
 impl Gateway {
-    /// Counts and logs the headers of an upstream's answer that no code reads.
+    /// Counts and logs the headers of an upstream's response that no code reads.
     pub fn note_unread_headers(&self, upstream: &Name, headers: &HeaderMap) {
         for name in self.dialect.unread_headers(headers) {
             let name = name.as_str();
--- a/crates/ivyweir-gateway/src/store_client.rs
+++ b/crates/ivyweir-gateway/src/store_client.rs
@@ -1,4 +1,4 @@
-//! A client for the store that tracks the era reported by its answers.
+//! A client for the store that tracks the era reported by its responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use crate::dialect::{Page, Topic};
 use crate::state::Gateway;
 
-/// An answer of the store with its whole body.
+/// A response of the store with its whole body.
 #[derive(Debug)]
 pub struct StoreResponse {
     /// The status.
     pub status: StatusCode,
     /// The whole body.
     pub body: Bytes,
-    /// The store's era as reported by this answer, else the last known one, else 0.
+    /// The store's era as reported by this response, else the last known one, else 0.
     pub era: u64,
 }
 
@@ -34,21 +34,21 @@
         Self { gateway, client }
     }
 
-    /// Makes a call and updates the gateway's store era from the answer.
+    /// Makes a call and updates the gateway's store era from the response.
     ///
     /// # Errors
     ///
-    /// When no complete answer arrives within `limit`.
+    /// When no complete response arrives within `limit`.
     pub async fn call(
         &mut self,
         request: Request<Bytes>,
         limit: Duration,
     ) -> Result<StoreResponse, CallError> {
-        let answer = self.client.call(request, limit).await?;
-        let reported = self.gateway.store_codec.store_era(&answer.headers);
+        let response = self.client.call(request, limit).await?;
+        let reported = self.gateway.store_codec.store_era(&response.headers);
         Ok(StoreResponse {
-            status: answer.status,
-            body: answer.body,
+            status: response.status,
+            body: response.body,
             era: self.gateway.update_store_era(reported),
         })
     }
@@ -58,18 +58,18 @@
     ///
     /// # Errors
     ///
-    /// When no answer arrives in time, its status is not 200, or its body cannot be decoded as a page.
+    /// When no response arrives in time, its status is not 200, or its body cannot be decoded as a page.
     pub async fn read_page(
         &mut self,
         topic: Topic,
         after: Option<&str>,
     ) -> Result<(Page, u64), CallError> {
         let request = self.gateway.store_codec.list(topic, after);
-        let answer = self.call(request, RESPONSE_TIMEOUT).await?;
-        if answer.status != StatusCode::OK {
-            return Err(CallError::refused(answer.status));
+        let response = self.call(request, RESPONSE_TIMEOUT).await?;
+        if response.status != StatusCode::OK {
+            return Err(CallError::refused(response.status));
         }
-        let page = self.gateway.store_codec.decode_page(topic, &answer.body);
-        Ok((page.map_err(CallError::unreadable)?, answer.era))
+        let page = self.gateway.store_codec.decode_page(topic, &response.body);
+        Ok((page.map_err(CallError::unreadable)?, response.era))
     }
 }
--- a/crates/ivyweir-gateway/src/store_events.rs
+++ b/crates/ivyweir-gateway/src/store_events.rs
@@ -12,7 +12,7 @@
 }
 
 impl StoreEvents {
-    /// Signals that the store did not answer a request about the configuration.
+    /// Signals that the store did not respond to a request about the configuration.
     pub fn notify_store_lost(&self) {
         self.store_losses.send_modify(|count| *count += 1);
     }
--- a/crates/ivyweir-gateway/src/sync/peer.rs
+++ b/crates/ivyweir-gateway/src/sync/peer.rs
@@ -24,7 +24,7 @@
 /// Wait of a box without a proof for the relay's next one.
 const FIRST_PROOF_WAIT_MS: u64 = 100;
 /// Response timeout of a relay, in addition to the wait.
-const RELAY_ANSWER_LIMIT_MS: u64 = 500;
+const RELAY_RESPONSE_LIMIT_MS: u64 = 500;
 /// The same for all records of a topic, and while boxes start together: a list of 3,000 upstreams
 /// takes 0.1 s over a link of 10 Mbit/s, and several boxes may receive theirs at a time.
 const COPY_LIMIT_MS: u64 = 2_000;
@@ -44,16 +44,16 @@
         requester: Requester,
     ) -> Result<Revision, FetchError> {
         let requested_at_ms = self.gateway.clock.now_ms();
-        let answer = self.call_box(since, &relay, requester).await?;
-        if matches!(&answer, Ok(answer) if answer.status == StatusCode::SERVICE_UNAVAILABLE) {
+        let response = self.call_box(since, &relay, requester).await?;
+        if matches!(&response, Ok(response) if response.status == StatusCode::SERVICE_UNAVAILABLE) {
             return Err(self.report_sourceless(&relay));
         }
-        let answer = match decode_response::<FollowResponse>(answer) {
-            Ok(answer) => answer,
+        let response = match decode_response::<FollowResponse>(response) {
+            Ok(response) => response,
             Err(error) => return Err(self.report_unresponsive(&relay, &error)),
         };
         self.failures = 0;
-        let revision = match self.apply_response(since, requested_at_ms, answer).await {
+        let revision = match self.apply_response(since, requested_at_ms, response).await {
             Ok(revision) => revision,
             Err(error) => return Err(self.report_copy_failure(&error)),
         };
@@ -130,12 +130,12 @@
         let limit_ms = if since.is_zero() || self.gateway.peers.is_fleet_starting() {
             COPY_LIMIT_MS
         } else {
-            RELAY_ANSWER_LIMIT_MS
+            RELAY_RESPONSE_LIMIT_MS
         };
         let limit = Duration::from_millis(wait_ms + limit_ms);
         let store_events = &self.gateway.store_events;
         tokio::select! {
-            answer = client.call(request, limit) => return Ok(answer),
+            response = client.call(request, limit) => return Ok(response),
             () = self.gateway.peers.wait_until_backing_off(&relay.name, &self.gateway.clock) => {}
             () = store_events.wait_for_upstreams_request(requested), if self.topic == Topic::Upstreams => {}
             () = store_events.wait_for_poll_request(), if self.topic != Topic::Site => {}
@@ -167,26 +167,26 @@
         &mut self,
         since: Revision,
         requested_at_ms: u64,
-        answer: FollowResponse,
+        response: FollowResponse,
     ) -> Result<Revision, BoxCallError> {
         let gateway = self.gateway.clone();
-        let proven_at_ms = answer.proven_at_ms(requested_at_ms, gateway.clock.now_ms());
-        let is_proven = answer
+        let proven_at_ms = response.proven_at_ms(requested_at_ms, gateway.clock.now_ms());
+        let is_proven = response
             .proof_age_ms
             .is_some_and(|age_ms| age_ms <= RELAY_PROOF_MAX_MS);
         // Revision zero means that the box has no data yet; its era is not the store's.
-        if !answer.revision.is_zero() {
-            gateway.update_store_era(Some(answer.revision.era));
+        if !response.revision.is_zero() {
+            gateway.update_store_era(Some(response.revision.era));
         }
-        let mut revision = answer.revision.max(since);
-        match answer.snapshot {
-            Some(Snapshot::Inline(items)) => self.apply_copy(answer.revision, items),
+        let mut revision = response.revision.max(since);
+        match response.snapshot {
+            Some(Snapshot::Inline(items)) => self.apply_copy(response.revision, items),
             Some(Snapshot::Redirect(peer_addr)) => revision = self.copy_from(peer_addr).await?,
             None => {}
         }
-        apply_changes(&gateway, self.topic, revision, answer.changes);
+        apply_changes(&gateway, self.topic, revision, response.changes);
         let source = ResponseSource::Peer {
-            has_source: is_proven && revision >= answer.revision,
+            has_source: is_proven && revision >= response.revision,
         };
         if self.topic != Topic::Site {
             self.confirm(source).await;
@@ -196,7 +196,7 @@
         // confirm. The proof covers the state of the relay, which may be newer than that of the box
         // that sent a copy.
         if let Some(proven_at_ms) = proven_at_ms
-            && revision >= answer.revision
+            && revision >= response.revision
             && gateway.is_proof_superseded_by(proven_at_ms)
         {
             // Upstreams and drained halls arrive through other followers. If this box renewed the
@@ -205,7 +205,7 @@
             let ProofScope {
                 upstreams,
                 drained_halls,
-            } = answer.proof_scope;
+            } = response.proof_scope;
             if !self.has_reached(Topic::Upstreams, upstreams).await {
                 self.is_unconfirmed = true;
             }
@@ -241,19 +241,19 @@
         let me = &self.gateway.settings.box_name;
         let path = follow_path(self.topic, Revision::default(), 0, Requester::Copier, me);
         let limit = Duration::from_millis(COPY_LIMIT_MS);
-        let answer = Client::new(peer_addr)
+        let response = Client::new(peer_addr)
             .call(get_request(peer_addr, &path), limit)
             .await;
-        let answer = decode_response::<FollowResponse>(answer)?;
-        if let Some(Snapshot::Inline(items)) = answer.snapshot {
+        let response = decode_response::<FollowResponse>(response)?;
+        if let Some(Snapshot::Inline(items)) = response.snapshot {
             let detail = json!({
-                "topic": self.topic.name(), "giver": peer_addr, "revision": answer.revision.to_string(),
+                "topic": self.topic.name(), "giver": peer_addr, "revision": response.revision.to_string(),
                 "records": items.len(),
             });
             self.gateway.log.line("records_copied", detail);
-            self.apply_copy(answer.revision, items);
+            self.apply_copy(response.revision, items);
         }
-        Ok(answer.revision)
+        Ok(response.revision)
     }
 
     fn apply_copy(&self, revision: Revision, items: Vec<StoreRecord>) {
--- a/crates/ivyweir-gateway/src/sync/watch.rs
+++ b/crates/ivyweir-gateway/src/sync/watch.rs
@@ -32,7 +32,7 @@
 /// Pause between a watch that returned changes and the next one, so that consecutive changes cost
 /// one call. The bounds on a configuration and on a leaving upstream are two seconds or more.
 const CHANGE_BATCH_MS: u64 = 300;
-/// Duration of a watch of upstreams. A call that an unresponsive store accepted is never answered,
+/// Duration of a watch of upstreams. A call that an unresponsive store accepted never gets a response,
 /// and until it times out a box does not learn which upstreams leave.
 const UPSTREAMS_WATCH_MS: u64 = 4_000;
 /// Duration of the first watches after a failure or after another box was the source.
@@ -123,17 +123,17 @@
             .gateway
             .store_codec
             .watch(self.topic, since.number, wait_ms);
-        let mut answer = self.call_store(request, wait_ms).await;
-        if self.failures == 0 && matches!(answer, Err(CallError::ResponseLost { .. })) {
+        let mut response = self.call_store(request, wait_ms).await;
+        if self.failures == 0 && matches!(response, Err(CallError::ResponseLost { .. })) {
             // The store may end a watch at any time; it is lost only if it does not respond to a
             // retry.
             let request = self
                 .gateway
                 .store_codec
                 .watch(self.topic, since.number, SHORT_WATCH_MS);
-            answer = self.call_store(request, SHORT_WATCH_MS).await;
+            response = self.call_store(request, SHORT_WATCH_MS).await;
         }
-        let changes = match answer.and_then(|answer| self.decode(since.era, &answer)) {
+        let changes = match response.and_then(|response| self.decode(since.era, &response)) {
             Ok(changes) => changes,
             Err(e) => {
                 self.record_failure(&e);
@@ -153,13 +153,13 @@
             ..since
         };
         let is_empty = changes.changes.is_empty();
-        let answered_at_ms = self.gateway.clock.now_ms();
+        let responded_at_ms = self.gateway.clock.now_ms();
         let changes = changes.changes.into_iter();
         let changes = changes.map(|change| change.with_era(since.era)).collect();
         let changes = readable_changes(&self.gateway, self.topic, changes);
         apply_changes(&self.gateway, self.topic, revision, changes);
         if self.confirm(ResponseSource::Store).await {
-            let proven_at_ms = proven_at(requested_at_ms, answered_at_ms, wait_ms, is_empty);
+            let proven_at_ms = proven_at(requested_at_ms, responded_at_ms, wait_ms, is_empty);
             self.gateway.renew_proof(proven_at_ms.cast_signed());
         }
         if !is_empty {
@@ -188,18 +188,18 @@
         } = &*self.gateway;
         let mut call = pin!(self.client.call(request, limit));
         if self.topic != Topic::Site {
-            // A store that was unresponsive for a while never answers the calls that it accepted
+            // A store that was unresponsive for a while never responds to the calls that it accepted
             // then. So a long wait ends as soon as the short ones detect the loss.
             return tokio::select! {
-                answer = call => answer,
+                response = call => response,
                 () = store_events.wait_for_store_loss() => Err(CallError::Abandoned {
                     detail: "the store did not answer a configuration request".into(),
                 }),
             };
         }
         let in_time = Duration::from_millis(wait_ms + OVERDUE_MS);
-        if let Ok(answer) = timeout(in_time, call.as_mut()).await {
-            return answer;
+        if let Ok(response) = timeout(in_time, call.as_mut()).await {
+            return response;
         }
         histories.set_store_responsive(false);
         call.await
@@ -207,16 +207,16 @@
 
     /// Decodes the response to a watch from a revision of `era`; `None` if the topic must be listed
     /// again, because the store no longer has the history or responds from another era.
-    fn decode(&self, era: u64, answer: &StoreResponse) -> Result<Option<Changes>, CallError> {
-        match answer.status {
+    fn decode(&self, era: u64, response: &StoreResponse) -> Result<Option<Changes>, CallError> {
+        match response.status {
             StatusCode::GONE => Ok(None),
             // After a restore, the same revision number stands for another change.
-            StatusCode::OK if answer.era != era => Ok(None),
+            StatusCode::OK if response.era != era => Ok(None),
             StatusCode::OK => {
                 let changes = self
                     .gateway
                     .store_codec
-                    .decode_changes(self.topic, &answer.body);
+                    .decode_changes(self.topic, &response.body);
                 changes.map(Some).map_err(CallError::unreadable)
             }
             status => Err(CallError::refused(status)),
@@ -268,8 +268,8 @@
 ///
 /// An empty response after the whole wait was made at the end of the wait; any other one shows only
 /// what held when it was requested.
-fn proven_at(requested_at_ms: u64, answered_at_ms: u64, wait_ms: u64, is_empty: bool) -> u64 {
-    let waited = answered_at_ms.saturating_sub(requested_at_ms) >= wait_ms;
+fn proven_at(requested_at_ms: u64, responded_at_ms: u64, wait_ms: u64, is_empty: bool) -> u64 {
+    let waited = responded_at_ms.saturating_sub(requested_at_ms) >= wait_ms;
     if is_empty && waited {
         requested_at_ms + wait_ms.saturating_sub(WATCH_LAG_MS)
     } else {
--- a/crates/ivyweir-policy/src/gateway/relay.rs
+++ b/crates/ivyweir-policy/src/gateway/relay.rs
@@ -43,12 +43,12 @@
     }
 }
 
-/// Bounds of the exponential backoff after a box failed.
+/// Bounds of the exponential back-off after a box failed.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerBackoffConfig {
-    /// Backoff after the first failure. It doubles with each further failure.
+    /// Back-off after the first failure. It doubles with each further failure.
     pub initial_ms: u64,
-    /// Maximum backoff.
+    /// Maximum back-off.
     pub max_ms: u64,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Records a failure of a box and starts or extends its backoff.
+    /// Records a failure of a box and starts or extends its back-off.
     pub fn record_failure(&mut self, name: &Name, now_ms: u64) {
         let state = self.boxes.entry(name.clone()).or_insert(BackoffState {
             failures: 0,
@@ -85,7 +85,7 @@
         state.until_ms = now_ms + backoff_ms.min(self.config.max_ms);
     }
 
-    /// Records a success of a box, which ends its backoff and resets its failure count.
+    /// Records a success of a box, which ends its back-off and resets its failure count.
     pub fn record_success(&mut self, name: &str) {
         self.boxes.remove(name);
     }
--- a/crates/ivyweir-policy/src/gateway/retry_budget.rs
+++ b/crates/ivyweir-policy/src/gateway/retry_budget.rs
@@ -75,7 +75,7 @@
 struct Bucket {
     index: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Retry budget of one pool on one box.
@@ -105,7 +105,7 @@
         let is_within_fleet = next <= MAX_RATIO * requests + MAX_SLACK
             && fleet.is_some_and(|fleet| fleet.has_room(limits, now_ms));
         if is_within_own || is_within_fleet {
-            self.current_bucket(limits, now_ms).repeats += 1;
+            self.current_bucket(limits, now_ms).retries += 1;
         }
         is_within_own || is_within_fleet
     }
@@ -115,7 +115,7 @@
         self.current_bucket(limits, now_ms);
         RetryCounts {
             requests: self.buckets.iter().map(|bucket| bucket.requests).sum(),
-            repeats: self.buckets.iter().map(|bucket| bucket.repeats).sum(),
+            repeats: self.buckets.iter().map(|bucket| bucket.retries).sum(),
         }
     }
 
@@ -136,7 +136,7 @@
             self.buckets.push_back(Bucket {
                 index,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         self.buckets
--- a/crates/ivyweir-policy/src/gateway/site.rs
+++ b/crates/ivyweir-policy/src/gateway/site.rs
@@ -124,7 +124,7 @@
     pub idle_timeout_ms: u64,
 }
 
-/// Customer with its API keys.
+/// Tenant with its API keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
     /// Name of the workspace.
--- a/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
+++ b/crates/ivyweir-policy/src/gateway/upstreams/supply.rs
@@ -11,21 +11,21 @@
 impl Upstreams {
     /// Number of a pool's ready upstreams that are not cold, by hall, and the highest slot count among them.
     pub fn supply(&self, pool: &Name, now_ms: u64) -> (HashMap<Name, HallCapacity>, u32) {
-        let mut supply: HashMap<Name, HallCapacity> = HashMap::new();
+        let mut capacity: HashMap<Name, HallCapacity> = HashMap::new();
         let mut slots = 0;
         let of_pool = self.fleet.members().filter(|m| m.record.pool == *pool);
         let serving =
             of_pool.filter(|m| m.state == MemberState::Ready && m.cold_for_ms(now_ms) == 0);
         for record in serving.map(|member| &member.record) {
-            let hall_supply = supply.entry(record.hall.clone()).or_default();
+            let hall_capacity = capacity.entry(record.hall.clone()).or_default();
             if record.is_spot {
-                hall_supply.spot += 1;
+                hall_capacity.spot += 1;
             } else {
-                hall_supply.on_demand += 1;
+                hall_capacity.on_demand += 1;
             }
             slots = slots.max(record.slots);
         }
-        (supply, slots)
+        (capacity, slots)
     }
 
     /// Number of this box's requests in flight, by pool.
--- a/crates/ivyweir-policy/src/model_selection.rs
+++ b/crates/ivyweir-policy/src/model_selection.rs
@@ -57,7 +57,7 @@
 pub struct Constraints {
     /// Required mean quality, 0 to 1.
     pub quality_target: f64,
-    /// Whether a second call is possible: the response is not streamed and the deadline allows it.
+    /// Whether a second call is possible: the answer is not streamed and the deadline allows it.
     pub may_cascade: bool,
 }
 
--- a/crates/ivyweir-policy/src/version_health.rs
+++ b/crates/ivyweir-policy/src/version_health.rs
@@ -3,7 +3,7 @@
 /// Change detector (CUSUM, cumulative sum of log-likelihood ratios) over pass/fail observations.
 ///
 /// CUSUM is robust against noise and reacts quickly to a real change. With the defaults, a version
-/// with 3% failed responses raises a false alarm about once in tens of thousands of responses; the
+/// with 3% failed answers raises a false alarm about once in tens of thousands of answers; the
 /// property test and `docs/MEASUREMENTS.md` give the rate.
 #[derive(Debug, Clone)]
 pub struct ChangeDetector {
@@ -14,9 +14,9 @@
     consecutive_good: u32,
 }
 
-/// Share of failed responses that is normal; also the lowest baseline of any detector.
+/// Share of failed answers that is normal; also the lowest baseline of any detector.
 const DEFAULT_BASELINE: f64 = 0.05;
-/// Share of the otherwise successful responses that also fails in a degraded version.
+/// Share of the otherwise successful answers that also fails in a degraded version.
 const DEGRADED_INCREASE: f64 = 0.32;
 /// Upper bound of the baseline.
 const MAX_BASELINE: f64 = 0.6;
--- a/crates/ivyweird/src/context.rs
+++ b/crates/ivyweird/src/context.rs
@@ -23,7 +23,7 @@
     pub current: Arc<ConfigSnapshot>,
     /// The caller's workspace.
     pub workspace: Name,
-    /// Options that the caller set in headers.
+    /// Metadata that the caller set in headers.
     pub metadata: RequestMetadata,
     /// Session of the request, if it names one.
     pub session: Option<Session>,
--- a/crates/ivyweird/src/digest.rs
+++ b/crates/ivyweird/src/digest.rs
@@ -177,11 +177,11 @@
             Some((load.upstream_id, report))
         })
         .collect();
-    let moment = FleetSnapshot {
+    let snapshot = FleetSnapshot {
         now_ms,
         live_boxes: node.live_boxes(),
     };
-    node.dispatcher.apply_load_reports(reports, moment);
+    node.dispatcher.apply_load_reports(reports, snapshot);
     unknown_set
 }
 
--- a/crates/ivyweird/src/document_sync.rs
+++ b/crates/ivyweird/src/document_sync.rs
@@ -230,11 +230,11 @@
         return false;
     };
     node.with_members(|table, _, _| table.apply_box_list(&list));
-    let moment = FleetSnapshot {
+    let snapshot = FleetSnapshot {
         now_ms: node.clock.now_ms(),
         live_boxes: node.live_boxes(),
     };
-    node.dispatcher.apply_box_list(&list, moment);
+    node.dispatcher.apply_box_list(&list, snapshot);
     let is_leaving = list
         .boxes
         .iter()
--- a/crates/ivyweird/src/forward.rs
+++ b/crates/ivyweird/src/forward.rs
@@ -61,7 +61,7 @@
     outcome
 }
 
-/// Fetches the stored answer of a key from the box that holds its claim, if it still has one.
+/// Fetches the stored reply of a key from the box that holds its claim, if it still has one.
 fn fetch_stored_reply(context: &Context<'_>) -> Option<Reply> {
     let request = pb::OutcomeRequest {
         workspace: context.workspace.to_string(),
@@ -96,7 +96,7 @@
     Some(successor.unwrap_or_else(|| opener.clone()))
 }
 
-/// Forwards the request to `authority` and returns its answer.
+/// Forwards the request to `authority` and returns its reply.
 fn forward_to(
     context: &Context<'_>,
     parsed: &ParsedRequest,
@@ -143,7 +143,7 @@
         return None;
     }
     // Counted as in progress, so that a planned stop waits for it. It is accepted while the box is
-    // stopping, because the box can still return stored answers.
+    // stopping, because the box can still return stored replies.
     let in_progress = node.admit_forwarded();
     let parsed = ParsedRequest {
         method: request.method,
--- a/crates/ivyweird/src/ledger.rs
+++ b/crates/ivyweird/src/ledger.rs
@@ -77,7 +77,7 @@
 
     /// Adds a record and waits until it is in the store or on another box.
     ///
-    /// Returns `false` on a time-out; the record stays in the buffer and is written later.
+    /// Returns `false` on a timeout; the record stays in the buffer and is written later.
     pub fn record(&self, record: Record) -> bool {
         let seq = lock(&self.buffer).push(record);
         let (notify, notified) = bounded(1);
--- a/crates/ivyweird/src/load_polling.rs
+++ b/crates/ivyweird/src/load_polling.rs
@@ -112,11 +112,11 @@
             versions,
             at_ms: polled_ms,
         };
-        let moment = FleetSnapshot {
+        let snapshot = FleetSnapshot {
             now_ms: node.clock.now_ms(),
             live_boxes: node.live_boxes(),
         };
         node.dispatcher
-            .apply_load_reports([(target.id, report)], moment);
+            .apply_load_reports([(target.id, report)], snapshot);
     }
 }
