--- a/crates/ivyweir-gateway/src/canary.rs
+++ b/crates/ivyweir-gateway/src/canary.rs
@@ -23,8 +23,8 @@
             pace_ms: (!failed).then_some(reply.head_after_ms as f64),
             span: Span::Whole,
             age_ms: reply.head_after_ms,
-            running: reply.marks.running(),
-            queue: reply.marks.waiting_per_running(),
+            running: reply.metadata.running(),
+            queue: reply.metadata.waiting_per_running(),
         };
         record_sample(gateway, job, &reply.in_flight.upstream, &sample);
     }
@@ -50,11 +50,11 @@
     sample: &AnswerSample,
 ) {
     let condemned = gateway.with_rollouts(|rollouts, now_ms| {
-        let track = rollouts.get_mut(&job.pool)?;
-        let side = track.side_of(&upstream.version);
-        track
+        let tracker = rollouts.get_mut(&job.pool)?;
+        let side = tracker.side_of(&upstream.version);
+        tracker
             .record_answer(side, sample, now_ms)
-            .then(|| track.total_tally())
+            .then(|| tracker.total_tally())
     });
     if let Some(tally) = condemned {
         gateway.log_condemned(&job.pool, &tally);
--- a/crates/ivyweir-gateway/src/reports.rs
+++ b/crates/ivyweir-gateway/src/reports.rs
@@ -125,12 +125,12 @@
     } else {
         RESPONSE_LIMIT
     };
-    let answer = box_call::post::<PeerReportMessage>(client, REPORT_PATH, message, limit).await;
+    let response = box_call::post::<PeerReportMessage>(client, REPORT_PATH, message, limit).await;
     let now_ms = gateway.clock.now_ms();
-    match answer {
-        Ok(answer) => {
+    match response {
+        Ok(response) => {
             gateway.peers.record_response(&to.name);
-            apply_message(gateway, answer, now_ms);
+            apply_message(gateway, response, now_ms);
         }
         Err(_) => {
             clients.remove(&to.peer_addr);
@@ -150,7 +150,7 @@
     }
     // A box without a source returns at once to one that has a source, instead of waiting for its
     // back-off.
-    if message.hears && !gateway.receives_store_records() {
+    if message.receives_records && !gateway.receives_store_records() {
         gateway.peers.record_source(&message.from);
     }
     gateway.apply_departures(&message.departures);
@@ -163,7 +163,7 @@
     }
     gateway
         .peers
-        .add_report(&message.from, message.word, now_ms);
+        .add_report(&message.from, message.report, now_ms);
 }
 
 /// Returns the sum of the reports of boxes other than those matched by `except`.
@@ -181,11 +181,11 @@
     report
 }
 
-/// Returns the report for a box of this hall: all work and repeats, including its own, and the
+/// Returns the report for a box of this hall: all work and retry counts, including its own, and the
 /// roll-out counts of all others.
 fn report_for(gateway: &Gateway, sender: &Name, now_ms: u64) -> PeerReport {
     let own = gateway.local_report();
-    let (work, repeats) = gateway
+    let (work, retry_counts) = gateway
         .peers
         .fleet_totals(FLEET_TOTALS_MAX_AGE_MS, now_ms, &own);
     let mut tallies = gateway.peers.tallies_except(sender, now_ms);
@@ -193,7 +193,7 @@
     PeerReport {
         work,
         tallies,
-        repeats,
+        repeats: retry_counts,
         ..PeerReport::default()
     }
 }
@@ -210,8 +210,8 @@
         from: gateway.settings.box_name.clone(),
         for_hall,
         is_root: gateway.histories.is_root(),
-        hears: gateway.receives_store_records(),
-        word: report,
+        receives_records: gateway.receives_store_records(),
+        report,
         departures: gateway.recent_departures(),
         limits: gateway.recent_limits(),
         quarantine: gateway.ledger_update_for(to),
--- a/crates/ivyweird/src/load_polling.rs
+++ b/crates/ivyweird/src/load_polling.rs
@@ -104,7 +104,7 @@
             continue;
         };
         let versions: VersionSet = load.versions.iter().map(|v| v.as_str().into()).collect();
-        node.learning.add_version_set(versions.clone());
+        node.version_stats.add_version_set(versions.clone());
         let report = LoadReport {
             running: load.running,
             waiting: load.waiting,
@@ -112,11 +112,11 @@
             versions,
             at_ms: polled_ms,
         };
-        let moment = FleetSnapshot {
+        let snapshot = FleetSnapshot {
             now_ms: node.clock.now_ms(),
             live_boxes: node.live_boxes(),
         };
         node.dispatcher
-            .apply_load_reports([(target.id, report)], moment);
+            .apply_load_reports([(target.id, report)], snapshot);
     }
 }
