--- a/crates/ivyweir-policy/tests/gateway_duties.rs
+++ b/crates/ivyweir-policy/tests/gateway_duties.rs
@@ -7,7 +7,7 @@
 use ivyweir_policy::gateway::duty::lease::{Lease, LeaseConfig, LeaseStep};
 use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use ivyweir_policy::gateway::duty::{DutyRecord, StoredDuties};
-use ivyweir_standins::edge::{DutyCall, DutyPromise};
+use ivyweir_standins::edge::{DutyCall, DutyInvariant};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -199,11 +199,11 @@
                 let at_ms = now_ms + rng.random_range(0..TERMS.call_ms);
                 let call = DutyCall {
                     at_ms,
-                    from: format!("box-{}", sim.number).into(),
+                    sender: format!("box-{}", sim.number).into(),
                     fence,
                     subject: "usage".into(),
                     report: None,
-                    is_excused: now_ms < sim.suspended_until_ms + THAW_MS,
+                    is_exempt_from_order: now_ms < sim.suspended_until_ms + THAW_MS,
                 };
                 calls.insert((at_ms, calls.len()), call);
             }
@@ -213,7 +213,7 @@
         }
     }
     let calls: Vec<DutyCall> = calls.into_values().collect();
-    let mut holders: Vec<&str> = calls.iter().map(|call| &*call.from).collect();
+    let mut holders: Vec<&str> = calls.iter().map(|call| &*call.sender).collect();
     holders.sort_unstable();
     holders.dedup();
     Run {
@@ -227,7 +227,7 @@
     ($($name:ident: $boxes:expr, seeds $seeds:expr, $restores:expr;)*) => {$(
         #[test]
         fn $name() {
-            let promise = DutyPromise { lease_ms: TERMS.lease_ms };
+            let promise = DutyInvariant { lease_ms: TERMS.lease_ms };
             let mut holders = 0;
             for seed in $seeds {
                 let run = play($boxes, seed, 90_000, 110_000, $restores);
--- a/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::gateway::rate_limit::LimitUpdate;
 use ivyweir_policy::gateway::statement::{DeclaredLimit, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{SendRules, Upstreams};
-use ivyweir_standins::edge::{Arrival, LimitPromise};
+use ivyweir_standins::edge::{Arrival, RateLimitInvariant};
 use proptest::prelude::*;
 
 use common::{Event, STEP_MS, SimBox, SimFleet, Trouble, hash, troubles};
@@ -211,8 +211,8 @@
             }
             arrivals.push(Arrival {
                 at_ms: now_ms,
-                from: sender(sim),
-                names_per_s,
+                sender: sender(sim),
+                advertised_per_s: names_per_s,
             });
         }
         if now_ms.is_multiple_of(ROUND_MS) {
@@ -229,7 +229,7 @@
         fn $name() {
             let per_s: f64 = $per_s;
             let arrivals = play($boxes, $halls, Naming::Steady(per_s), &[], 42_000, by_box);
-            assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+            assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
             let span = |from_ms: u64, for_ms: u64| {
                 let within = |a: &&Arrival| a.at_ms >= from_ms && a.at_ms < from_ms + for_ms;
                 arrivals.iter().filter(within).count() as f64
@@ -262,7 +262,7 @@
         #[test]
         fn $name() {
             let arrivals = play($boxes, $halls, $naming, &[], 60_000, by_box);
-            assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+            assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
         }
     )*};
 }
@@ -284,7 +284,7 @@
             let work = Work::Pause($from_ms, $until_ms);
             let naming = Naming::Steady($per_s);
             let arrivals = play_work($boxes, $halls, naming, work, &[], $until_ms + 10_000, by_box);
-            assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+            assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
         }
     )*};
 }
@@ -329,7 +329,7 @@
     });
     let events: Vec<Event> = restarts.collect();
     let arrivals = play(24, 4, Naming::Steady(1.0), &events, 40_000, by_start);
-    assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+    assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
     let after = arrivals.iter().filter(|arrival| arrival.at_ms >= 24_000);
     assert!(after.count() >= 12, "they send again");
 }
@@ -342,6 +342,6 @@
     ) {
         let events: Vec<Event> = events.into_iter().map(|(at_ms, n, trouble)| (at_ms, n % boxes, trouble)).collect();
         let arrivals = play(boxes, halls, Naming::Steady(per_s), &events, 60_000, by_box);
-        prop_assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+        prop_assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
     }
 }
--- a/crates/ivyweir-standins/src/edge.rs
+++ b/crates/ivyweir-standins/src/edge.rs
@@ -1,25 +1,25 @@
-//! Stand-ins around the request gateway: a store of records, scripted upstreams, and boxes as
+//! Stand-ins around the request gateway: a store of records, scripted_upstream upstreams, and boxes as
 //! processes.
 //!
 //! They speak the gateway's own interface.
 
+mod duty_invariant;
 mod duty_platform;
-mod duty_promise;
+mod gateway_process;
 mod peer_filter;
-mod process;
-mod promise;
+mod rate_limit_invariant;
 mod record_store;
-mod scripted;
-mod town;
+mod scripted_upstream;
+mod test_cluster;
 
+pub use duty_invariant::{DutyCall, DutyInvariant, DutyViolation};
 pub use duty_platform::DutyPlatform;
-pub use duty_promise::{Breach, DutyCall, DutyPromise};
+pub use gateway_process::{BoxSpec, GatewayProcess, gateway_settings};
 pub use peer_filter::PeerFilter;
-pub use process::{BoxSpec, GatewayProcess, gateway_settings};
-pub use promise::{Arrival, Excess, LimitPromise};
+pub use rate_limit_invariant::{Arrival, RateLimitInvariant, RateLimitViolation};
 pub use record_store::{RecordStore, StoreFault};
-pub use scripted::{ANSWERED_BY, Act, ScriptedUpstream, Seen};
-pub use town::{
-    HOST, KEY, Reply, Town, WORKSPACE, any_port, call, event_ids, eventually, get, post_stream,
-    site,
+pub use scripted_upstream::{ANSWERED_BY, ReceivedRequest, ScriptedUpstream, UpstreamAction};
+pub use test_cluster::{
+    HOST, KEY, Reply, TestCluster, WORKSPACE, any_port, call, event_ids, eventually, get,
+    post_stream, site_config,
 };
--- a/crates/ivyweir-standins/src/edge/duty_platform.rs
+++ b/crates/ivyweir-standins/src/edge/duty_platform.rs
@@ -12,8 +12,8 @@
 use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use ivyweir_policy::gateway::duty::usage::UsageReport;
 
-use super::duty_promise::DutyCall;
-use super::town::serve_on_thread;
+use super::duty_invariant::DutyCall;
+use super::test_cluster::serve_on_thread;
 
 /// A running platform.
 #[derive(Clone)]
@@ -40,9 +40,9 @@
             reports: Vec::new(),
             orders: Vec::new(),
         }));
-        let serving = state.clone();
+        let server_state = state.clone();
         let addr = serve_on_thread(move |request| {
-            let state = serving.clone();
+            let state = server_state.clone();
             async move { Ok::<_, Infallible>(answer(&state, request).await) }
         });
         Self { addr, state }
@@ -54,8 +54,8 @@
     }
 
     /// Sets whether it refuses all further calls, which it has not taken then.
-    pub fn refuse(&self, refuses: bool) {
-        self.state().status = if refuses {
+    pub fn set_refusing(&self, refusing: bool) {
+        self.state().status = if refusing {
             StatusCode::SERVICE_UNAVAILABLE
         } else {
             StatusCode::OK
@@ -89,7 +89,7 @@
         Some(value.to_str().ok()?.to_owned())
     };
     let fence = header("ivyweir-fence").and_then(|fence| fence.parse().ok());
-    let (Some(from), Some(fence), Ok(body)) =
+    let (Some(sender), Some(fence), Ok(body)) =
         (header("ivyweir-duty-holder"), fence, body.collect().await)
     else {
         return status(StatusCode::BAD_REQUEST);
@@ -99,20 +99,20 @@
     let at_ms = state.started.elapsed().as_millis() as u64;
     let mut call = DutyCall {
         at_ms,
-        from: from.into(),
+        sender: sender.into(),
         fence,
         subject: "usage".to_owned(),
         report: None,
-        is_excused: false,
+        is_exempt_from_order: false,
     };
-    let is_taken = state.status.is_success();
+    let is_accepted = state.status.is_success();
     match head.uri.path() {
         "/v1/usage" => {
             let Ok(report) = serde_json::from_slice::<UsageReport>(&body) else {
                 return status(StatusCode::BAD_REQUEST);
             };
             call.report = Some((report.window, format!("{:?}", report.counts)));
-            if is_taken {
+            if is_accepted {
                 state.reports.push(report);
             }
         }
@@ -121,7 +121,7 @@
                 return status(StatusCode::BAD_REQUEST);
             };
             call.subject = format!("{} in {}", order.pool, order.hall);
-            if is_taken {
+            if is_accepted {
                 state.orders.push(order);
             }
         }
--- a/crates/ivyweir-standins/src/edge/process.rs
+++ b/crates/ivyweir-standins/src/edge/gateway_process.rs
@@ -12,7 +12,7 @@
 use crate::child;
 
 /// Time for a box to say where it listens.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running box.
 pub struct GatewayProcess {
@@ -99,9 +99,9 @@
     }
 
     fn read_addresses(&mut self) {
-        let deadline = Instant::now() + START_LIMIT;
+        let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline {
-            if let Some(line) = self.lines_of("started").first() {
+            if let Some(line) = self.event_lines("started").first() {
                 let read = |field: &str| {
                     let addr = line[field].as_str().expect("an address");
                     addr.parse().expect("an address")
@@ -123,16 +123,16 @@
     }
 
     /// The log lines of an event.
-    pub fn lines_of(&self, event: &str) -> Vec<Value> {
-        self.lines_where("event", event)
+    pub fn event_lines(&self, event: &str) -> Vec<Value> {
+        self.matching_lines("event", event)
     }
 
     /// The log lines of a request.
-    pub fn lines_about(&self, request_id: &str) -> Vec<Value> {
-        self.lines_where("request_id", request_id)
+    pub fn request_lines(&self, request_id: &str) -> Vec<Value> {
+        self.matching_lines("request_id", request_id)
     }
 
-    fn lines_where(&self, field: &str, value: &str) -> Vec<Value> {
+    fn matching_lines(&self, field: &str, value: &str) -> Vec<Value> {
         let log = self.log();
         let lines = log.lines().map(serde_json::from_str);
         let lines = lines.filter_map(|line| line.ok());
@@ -152,8 +152,8 @@
     }
 
     /// Its exit code, once it has ended; none if that takes over `limit`.
-    pub fn wait_exit(&mut self, limit: Duration) -> Option<i32> {
-        child::wait_exit(&mut self.child, limit)
+    pub fn wait_exit(&mut self, timeout: Duration) -> Option<i32> {
+        child::wait_exit(&mut self.child, timeout)
     }
 
     /// Kills it at once.
--- a/crates/ivyweir-standins/src/edge/promise.rs
+++ b/crates/ivyweir-standins/src/edge/rate_limit_invariant.rs
@@ -11,18 +11,18 @@
     /// When, in milliseconds of any clock.
     pub at_ms: u64,
     /// The box that sent it.
-    pub from: Name,
+    pub sender: Name,
     /// The limit that its answer names, in requests a second.
-    pub names_per_s: Option<f64>,
+    pub advertised_per_s: Option<f64>,
 }
 
 /// That an upstream gets no more than the limit it names, from the boxes that it told.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitPromise {
+pub struct RateLimitInvariant {
     /// Time since an upstream first named a limit from which windows count, in milliseconds.
     pub settling_ms: u64,
     /// Time since a box was told from which its requests count, in milliseconds.
-    pub told_ms: u64,
+    pub notice_grace_ms: u64,
     /// Length of a window in milliseconds.
     pub window_ms: u64,
     /// How many times the limit may reach it within a window.
@@ -33,7 +33,7 @@
 
 /// Requests of a window beyond what a limit allows.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Excess {
+pub struct RateLimitViolation {
     /// When the window ended, in milliseconds.
     pub at_ms: u64,
     /// Requests in it from boxes that had been told.
@@ -42,7 +42,7 @@
     pub allowed: f64,
 }
 
-impl fmt::Display for Excess {
+impl fmt::Display for RateLimitViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             at_ms,
@@ -53,11 +53,11 @@
     }
 }
 
-impl LimitPromise {
+impl RateLimitInvariant {
     /// What upstreams are promised where boxes are in touch again three seconds after a fault.
-    pub const AGREED: Self = Self {
+    pub const STANDARD: Self = Self {
         settling_ms: 3_000,
-        told_ms: 500,
+        notice_grace_ms: 500,
         window_ms: 4_000,
         factor: 1.5,
         slack: 5.0,
@@ -69,12 +69,14 @@
     /// # Errors
     ///
     /// When a window holds more than its limit allows.
-    pub fn check(&self, arrivals: &[Arrival]) -> Result<(), Excess> {
-        let mut told_ms = HashMap::new();
-        for arrival in arrivals.iter().filter(|a| a.names_per_s.is_some()) {
-            told_ms.entry(arrival.from.clone()).or_insert(arrival.at_ms);
+    pub fn check(&self, arrivals: &[Arrival]) -> Result<(), RateLimitViolation> {
+        let mut notified_at_ms = HashMap::new();
+        for arrival in arrivals.iter().filter(|a| a.advertised_per_s.is_some()) {
+            notified_at_ms
+                .entry(arrival.sender.clone())
+                .or_insert(arrival.at_ms);
         }
-        self.check_told(arrivals, &told_ms)
+        self.check_with_notice_times(arrivals, &notified_at_ms)
     }
 
     /// The same, where it is known when each box was told.
@@ -82,32 +84,32 @@
     /// # Errors
     ///
     /// When a window holds more than its limit allows.
-    pub fn check_told(
+    pub fn check_with_notice_times(
         &self,
         arrivals: &[Arrival],
-        told_ms: &HashMap<Name, u64>,
-    ) -> Result<(), Excess> {
+        notified_at_ms: &HashMap<Name, u64>,
+    ) -> Result<(), RateLimitViolation> {
         let Some(first) = arrivals
             .iter()
-            .find(|arrival| arrival.names_per_s.is_some())
+            .find(|arrival| arrival.advertised_per_s.is_some())
         else {
             return Ok(());
         };
-        let counted = self.counted(arrivals, told_ms);
-        let mut begin = 0;
+        let counted = self.counted(arrivals, notified_at_ms);
+        let mut start = 0;
         for (end, (at_ms, _)) in counted.iter().enumerate() {
-            while counted[begin].0 + self.window_ms <= *at_ms {
-                begin += 1;
+            while counted[start].0 + self.window_ms <= *at_ms {
+                start += 1;
             }
             if *at_ms < first.at_ms + self.settling_ms {
                 continue;
             }
-            let window = &counted[begin..=end];
+            let window = &counted[start..=end];
             let highest_per_s = window.iter().map(|(_, per_s)| *per_s).fold(0.0, f64::max);
             let window_s = self.window_ms as f64 / 1_000.0;
             let allowed = self.factor * highest_per_s * window_s + self.slack;
             if window.len() as f64 > allowed {
-                return Err(Excess {
+                return Err(RateLimitViolation {
                     at_ms: *at_ms,
                     requests: window.len(),
                     allowed,
@@ -119,11 +121,16 @@
 
     /// Requests that count: their upstream names a limit, and had told it to the box that sent them. Each with when it
     /// came and that limit.
-    fn counted(&self, arrivals: &[Arrival], told_ms: &HashMap<Name, u64>) -> Vec<(u64, f64)> {
+    fn counted(
+        &self,
+        arrivals: &[Arrival],
+        notified_at_ms: &HashMap<Name, u64>,
+    ) -> Vec<(u64, f64)> {
         let counts = |arrival: &Arrival| {
-            let told_ms = told_ms.get(&arrival.from)?;
-            let per_s = arrival.names_per_s?;
-            (told_ms + self.told_ms <= arrival.at_ms).then_some((arrival.at_ms, per_s))
+            let notified_at_ms = notified_at_ms.get(&arrival.sender)?;
+            let per_s = arrival.advertised_per_s?;
+            (notified_at_ms + self.notice_grace_ms <= arrival.at_ms)
+                .then_some((arrival.at_ms, per_s))
         };
         arrivals.iter().filter_map(counts).collect()
     }
--- a/crates/ivyweir-standins/src/edge/record_store.rs
+++ b/crates/ivyweir-standins/src/edge/record_store.rs
@@ -23,7 +23,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-use super::town::serve_on_thread;
+use super::test_cluster::serve_on_thread;
 use state::{State, Write};
 
 /// How the store fails.
@@ -47,7 +47,7 @@
 
 struct Shared {
     state: Mutex<State>,
-    news: watch::Sender<u64>,
+    change_signal: watch::Sender<u64>,
 }
 
 impl RecordStore {
@@ -55,11 +55,11 @@
     pub fn start() -> Self {
         let shared = Arc::new(Shared {
             state: Mutex::default(),
-            news: watch::Sender::new(0),
+            change_signal: watch::Sender::new(0),
         });
-        let serving = shared.clone();
+        let server_shared = shared.clone();
         let addr = serve_on_thread(move |request| {
-            let shared = serving.clone();
+            let shared = server_shared.clone();
             async move { Ok::<_, Infallible>(answer(&shared, request).await) }
         });
         Self { addr, shared }
@@ -73,7 +73,7 @@
     /// Sets how it fails.
     pub fn set_fault(&self, fault: StoreFault) {
         self.state().fault = fault;
-        self.shared.news.send_modify(|count| *count += 1);
+        self.shared.change_signal.send_modify(|count| *count += 1);
     }
 
     /// Forgets all history: watches must list again.
@@ -81,9 +81,9 @@
         let mut state = self.state();
         state.contents.revision += 1;
         state.history_from = state.contents.revision;
-        state.log.clear();
+        state.change_log.clear();
         drop(state);
-        self.shared.news.send_modify(|count| *count += 1);
+        self.shared.change_signal.send_modify(|count| *count += 1);
     }
 
     /// Replaces the backup with the current contents; the initial backup is empty.
@@ -96,7 +96,7 @@
     /// Restores the backup: later writes are lost, and their revision numbers are reused.
     pub fn restore(&self) {
         self.state().restore();
-        self.shared.news.send_modify(|count| *count += 1);
+        self.shared.change_signal.send_modify(|count| *count += 1);
     }
 
     /// Repeats the writes by operators and upstreams that the last restore lost; writes by boxes stay lost.
@@ -136,8 +136,8 @@
     }
 
     /// Writes over a record as another writer may: with something that cannot be read.
-    pub fn put_foreign(&self, topic: Topic, name: &str, record: Value) {
-        self.write(Write::PutForeign(topic, name.into(), record));
+    pub fn put_unreadable(&self, topic: Topic, name: &str, record: Value) {
+        self.write(Write::PutUnreadable(topic, name.into(), record));
     }
 
     /// Asks that the upstreams of a hall get nothing more.
@@ -172,7 +172,7 @@
         self.remove(Topic::Rollouts, &Name::from(pool));
     }
 
-    /// Names of the quarantined requests that are kept.
+    /// Names of the quarantined requests that are quarantines.
     pub fn quarantines(&self) -> Vec<String> {
         self.state().contents.quarantines.keys().cloned().collect()
     }
@@ -196,7 +196,7 @@
     }
 
     /// Calls so far.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.state().calls
     }
 
@@ -214,7 +214,7 @@
 
     fn write(&self, write: Write) {
         self.state().write(write);
-        self.shared.news.send_modify(|count| *count += 1);
+        self.shared.change_signal.send_modify(|count| *count += 1);
     }
 }
 
@@ -276,18 +276,18 @@
     name: &[&str],
     body: &[u8],
 ) -> Response<Full<Bytes>> {
-    let kept = &mut shared.state().contents.quarantines;
+    let quarantines = &mut shared.state().contents.quarantines;
     match (method, name) {
-        (&Method::GET, []) => answer_json(&kept.values().collect::<Vec<_>>()),
-        (&Method::POST, [name]) if kept.contains_key(*name) => status(StatusCode::CONFLICT),
+        (&Method::GET, []) => answer_json(&quarantines.values().collect::<Vec<_>>()),
+        (&Method::POST, [name]) if quarantines.contains_key(*name) => status(StatusCode::CONFLICT),
         (&Method::POST, [name]) => match serde_json::from_slice(body) {
             Ok(record) => {
-                kept.insert((*name).to_owned(), record);
+                quarantines.insert((*name).to_owned(), record);
                 status(StatusCode::CREATED)
             }
             Err(_) => status(StatusCode::BAD_REQUEST),
         },
-        (&Method::DELETE, [name]) => match kept.remove(*name) {
+        (&Method::DELETE, [name]) => match quarantines.remove(*name) {
             Some(_) => status(StatusCode::OK),
             None => status(StatusCode::NOT_FOUND),
         },
@@ -298,7 +298,7 @@
 /// Reads or writes who holds the duties, under the revision that the writer saw.
 fn duties(shared: &Shared, method: &Method, query: &str, body: &[u8]) -> Response<Full<Bytes>> {
     let mut state = shared.state();
-    let known = state.contents.duties.as_ref().map(|stored| stored.revision);
+    let current_revision = state.contents.duties.as_ref().map(|stored| stored.revision);
     let expected = match *method {
         Method::GET => None,
         Method::POST => Some(None),
@@ -308,7 +308,7 @@
     let mut code = StatusCode::OK;
     match (expected, serde_json::from_slice(body)) {
         (None, _) => {}
-        (Some(expected), Ok(record)) if expected == known => {
+        (Some(expected), Ok(record)) if expected == current_revision => {
             state.contents.revision += 1;
             let revision = state.contents.revision;
             state.contents.duties = Some(StoredDutyRecord { record, revision });
@@ -331,26 +331,26 @@
         value.and_then(|(_, value)| value.parse().ok()).unwrap_or(0)
     };
     let since = field("since");
-    let until = Instant::now() + Duration::from_millis(field("wait_ms"));
-    let mut news = shared.news.subscribe();
+    let deadline = Instant::now() + Duration::from_millis(field("wait_ms"));
+    let mut change_signal = shared.change_signal.subscribe();
     loop {
-        let (gone, fault, changes) = {
+        let (history_is_gone, fault, changes) = {
             let state = shared.state();
-            let gone = since < state.history_from || since > state.contents.revision;
-            (gone, state.fault, state.changes(topic, since))
+            let history_is_gone = since < state.history_from || since > state.contents.revision;
+            (history_is_gone, state.fault, state.changes(topic, since))
         };
         match fault {
             StoreFault::None => {}
             StoreFault::Refuse => return status(StatusCode::SERVICE_UNAVAILABLE),
             StoreFault::Silent => std::future::pending().await,
         }
-        if gone {
+        if history_is_gone {
             return status(StatusCode::GONE);
         }
-        if !changes.changes.is_empty() || Instant::now() >= until {
+        if !changes.changes.is_empty() || Instant::now() >= deadline {
             return answer_json(&changes);
         }
-        let _woken = timeout_at(until, news.changed()).await;
+        let _timed_out = timeout_at(deadline, change_signal.changed()).await;
     }
 }
 
@@ -359,7 +359,7 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let (code, item) = shared.state().write_rollout(order);
-    shared.news.send_modify(|count| *count += 1);
+    shared.change_signal.send_modify(|count| *count += 1);
     let mut answer = match item {
         Some(StoreRecord::Rollout(order)) => answer_json(&order),
         _ => status(code),
--- a/crates/ivyweir-standins/src/edge/record_store/state.rs
+++ b/crates/ivyweir-standins/src/edge/record_store/state.rs
@@ -18,7 +18,7 @@
     pub(super) revision: u64,
     pub(super) records: BTreeMap<(&'static str, Name), StoreRecord>,
     /// Records of other writers, which cannot be read, by topic and name.
-    pub(super) foreign: BTreeMap<(&'static str, Name), Value>,
+    pub(super) unreadable: BTreeMap<(&'static str, Name), Value>,
     /// Quarantined requests, by the name of their record.
     pub(super) quarantines: BTreeMap<String, QuarantineRecord>,
     /// Who holds the duties, and the revision of that.
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum Write {
     Put(Topic, Name, StoreRecord),
-    PutForeign(Topic, Name, Value),
+    PutUnreadable(Topic, Name, Value),
     Remove(Topic, Name),
     LiftQuarantines,
 }
@@ -39,7 +39,7 @@
     pub(super) fn upstream_name(&self) -> Option<&Name> {
         match self {
             Self::Put(Topic::Upstreams, name, _)
-            | Self::PutForeign(Topic::Upstreams, name, _)
+            | Self::PutUnreadable(Topic::Upstreams, name, _)
             | Self::Remove(Topic::Upstreams, name) => Some(name),
             _ => None,
         }
@@ -51,7 +51,7 @@
     pub(super) contents: Contents,
     /// Watches from before this are told that history is gone.
     pub(super) history_from: u64,
-    pub(super) log: Vec<(u64, Topic, Value)>,
+    pub(super) change_log: Vec<(u64, Topic, Value)>,
     pub(super) backup: Contents,
     /// Writes by operators and upstreams since the backup.
     pub(super) writes_since_backup: Vec<Write>,
@@ -68,7 +68,7 @@
         self.contents = self.backup.clone();
         self.lost_writes = std::mem::take(&mut self.writes_since_backup);
         self.history_from = self.contents.revision;
-        self.log.clear();
+        self.change_log.clear();
         self.era += 1;
     }
 
@@ -78,7 +78,7 @@
         match write {
             Write::Put(topic, name, item) if self.is_already_stored(topic, &name, &item) => {}
             Write::Put(topic, name, item) => self.put(topic, name, item),
-            Write::PutForeign(topic, name, record) => self.put_foreign(topic, name, record),
+            Write::PutUnreadable(topic, name, record) => self.put_unreadable(topic, name, record),
             Write::Remove(topic, name) => self.remove(topic, &name),
             Write::LiftQuarantines => self.contents.quarantines.clear(),
         }
@@ -103,23 +103,24 @@
             order.revision = self.contents.revision;
         }
         let key = (topic.name(), name);
-        self.contents.foreign.remove(&key);
+        self.contents.unreadable.remove(&key);
         self.contents.records.insert(key, item.clone());
-        self.note(topic, &RecordChange::Put(item));
+        self.log_change(topic, &RecordChange::Put(item));
     }
 
-    fn put_foreign(&mut self, topic: Topic, name: Name, record: Value) {
+    fn put_unreadable(&mut self, topic: Topic, name: Name, record: Value) {
         self.contents.revision += 1;
         let key = (topic.name(), name);
         self.contents.records.remove(&key);
-        self.log
+        self.change_log
             .push((self.contents.revision, topic, json!({"put": record})));
-        self.contents.foreign.insert(key, record);
+        self.contents.unreadable.insert(key, record);
     }
 
-    fn note(&mut self, topic: Topic, change: &RecordChange) {
+    fn log_change(&mut self, topic: Topic, change: &RecordChange) {
         let change = serde_json::to_value(change).expect("changes are valid JSON");
-        self.log.push((self.contents.revision, topic, change));
+        self.change_log
+            .push((self.contents.revision, topic, change));
     }
 
     fn remove(&mut self, topic: Topic, name: &Name) {
@@ -130,23 +131,23 @@
             .is_some()
         {
             self.contents.revision += 1;
-            self.note(topic, &RecordChange::Gone(name.clone()));
+            self.log_change(topic, &RecordChange::Gone(name.clone()));
         }
     }
 
     pub(super) fn page(&self, topic: Topic) -> RecordPage {
-        let own = self.contents.records.iter();
-        let own = own.map(|(key, item)| {
+        let readable = self.contents.records.iter();
+        let readable = readable.map(|(key, item)| {
             let record = serde_json::to_value(item).expect("records are valid JSON");
             (key, record)
         });
-        let foreign = self
+        let unreadable = self
             .contents
-            .foreign
+            .unreadable
             .iter()
             .map(|(key, record)| (key, record.clone()));
-        let records = own.chain(foreign);
-        let records = records.filter(|((of, _), _)| *of == topic.name());
+        let records = readable.chain(unreadable);
+        let records = records.filter(|((record_topic, _), _)| *record_topic == topic.name());
         RecordPage {
             records: records.map(|(_, record)| record).collect(),
             next_after: None,
@@ -156,9 +157,9 @@
 
     pub(super) fn changes(&self, topic: Topic, since: u64) -> RecordChanges {
         let newer = self
-            .log
+            .change_log
             .iter()
-            .filter(|(at, of, _)| *at > since && *of == topic);
+            .filter(|(revision, changed_topic, _)| *revision > since && *changed_topic == topic);
         RecordChanges {
             changes: newer.map(|(_, _, change)| change.clone()).collect(),
             revision: self.contents.revision,
@@ -171,10 +172,10 @@
         order: RolloutOrder,
     ) -> (StatusCode, Option<StoreRecord>) {
         let key = (Topic::Rollouts.name(), order.pool.clone());
-        let Some(StoreRecord::Rollout(now)) = self.contents.records.get(&key) else {
+        let Some(StoreRecord::Rollout(current)) = self.contents.records.get(&key) else {
             return (StatusCode::NOT_FOUND, None);
         };
-        if now.revision != order.revision {
+        if current.revision != order.revision {
             return (
                 StatusCode::CONFLICT,
                 self.contents.records.get(&key).cloned(),
--- a/crates/ivyweir-standins/src/edge/town.rs
+++ b/crates/ivyweir-standins/src/edge/test_cluster.rs
@@ -24,9 +24,9 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::Notify;
 
-use super::process::{BoxSpec, GatewayProcess};
+use super::gateway_process::{BoxSpec, GatewayProcess};
 use super::record_store::RecordStore;
-use super::scripted::ScriptedUpstream;
+use super::scripted_upstream::ScriptedUpstream;
 
 /// The host of all routes.
 pub const HOST: &str = "studio.example";
@@ -35,12 +35,12 @@
 /// Its key.
 pub const KEY: &str = "key-of-the-studio";
 /// Boxes at which others join.
-const SEEDS: usize = 3;
+const MAX_SEEDS: usize = 3;
 /// Time for a condition to come true.
-const LIMIT: Duration = Duration::from_secs(30);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A store, upstreams and boxes.
-pub struct Town {
+pub struct TestCluster {
     /// The store.
     pub store: RecordStore,
     /// Upstreams of the pool `engines`.
@@ -57,11 +57,11 @@
     folder: PathBuf,
 }
 
-impl Town {
+impl TestCluster {
     /// Starts a store, two upstreams a pool, and no box yet.
     pub fn start(binary: impl Into<PathBuf>) -> Self {
-        static TOWNS: AtomicU64 = AtomicU64::new(0);
-        let number = TOWNS.fetch_add(1, Ordering::Relaxed);
+        static CLUSTER_COUNT: AtomicU64 = AtomicU64::new(0);
+        let number = CLUSTER_COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("ivyweir-town-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).expect("the temporary folder can be written");
@@ -73,7 +73,7 @@
         };
         let engines = (0..2).map(|n| upstream("engines", n)).collect();
         let services = (0..2).map(|n| upstream("services", n)).collect();
-        store.put_site(&site(1, &[KEY]));
+        store.put_site(&site_config(1, &[KEY]));
         Self {
             store,
             engines,
@@ -88,21 +88,21 @@
 
     /// Starts a store, two upstreams a pool, and a box in each of these halls; waits until they are ready.
     pub fn with_boxes(binary: impl Into<PathBuf>, halls: &[&str]) -> Self {
-        let mut town = Self::start(binary);
+        let mut cluster = Self::start(binary);
         for hall in halls {
-            town.add_box(hall);
+            cluster.add_box(hall);
         }
-        town
+        cluster
     }
 
     /// Starts a box that reaches the store directly, and waits until it is ready.
     pub fn add_box(&mut self, hall: &str) -> usize {
         let store_addr = self.store.addr().to_string();
-        self.add_box_behind(hall, &store_addr)
+        self.add_box_with_store_addr(hall, &store_addr)
     }
 
     /// Starts a box that reaches the store at `store_addr`, and waits until it is ready.
-    pub fn add_box_behind(&mut self, hall: &str, store_addr: &str) -> usize {
+    pub fn add_box_with_store_addr(&mut self, hall: &str, store_addr: &str) -> usize {
         let number = self.start_box(hall, store_addr);
         eventually("the box is ready", || self.is_ready(number));
         number
@@ -129,14 +129,14 @@
 
     /// Addresses at which a box that starts now joins the others.
     pub fn seed_addrs(&self) -> Vec<SocketAddr> {
-        let first = self.boxes.iter().take(SEEDS);
+        let first = self.boxes.iter().take(MAX_SEEDS);
         first.map(|running| running.peer_addr).collect()
     }
 
     /// Whether a box tells the balancer that it takes connections.
     pub fn is_ready(&self, number: usize) -> bool {
-        let asked = get(self.boxes[number].ready_addr, "/readyz", &[]);
-        asked.is_ok_and(|reply| reply.status == 200)
+        let reply = get(self.boxes[number].ready_addr, "/readyz", &[]);
+        reply.is_ok_and(|reply| reply.status == 200)
     }
 
     /// Status of a plain request with this key to a box; 0 if there is no answer.
@@ -155,10 +155,10 @@
     }
 }
 
-impl Drop for Town {
+impl Drop for TestCluster {
     fn drop(&mut self) {
         self.boxes.clear();
-        let _left_behind = std::fs::remove_dir_all(&self.folder);
+        let _ignored = std::fs::remove_dir_all(&self.folder);
     }
 }
 
@@ -173,7 +173,7 @@
 ///
 /// When it does not within half a minute.
 pub fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
-    let deadline = Instant::now() + LIMIT;
+    let deadline = Instant::now() + CONDITION_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "{what} did not come true");
         thread::sleep(Duration::from_millis(10));
@@ -181,7 +181,7 @@
 }
 
 /// A configuration with a route of each kind, and a workspace with these keys.
-pub fn site(version: u64, keys: &[&str]) -> SiteConfig {
+pub fn site_config(version: u64, keys: &[&str]) -> SiteConfig {
     let route = |name: &str, kind: RouteKind, pool: &str, max_attempts: u32| {
         Arc::new(Route {
             name: name.into(),
@@ -246,7 +246,7 @@
     /// The body, as far as it came.
     pub body: Bytes,
     /// Whether the body came to its end.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 impl Reply {
@@ -322,12 +322,12 @@
 async fn read(answer: Response<Incoming>) -> Reply {
     let (head, mut incoming) = answer.into_parts();
     let mut body = Vec::new();
-    let mut is_whole = true;
+    let mut is_complete = true;
     while let Some(frame) = incoming.frame().await {
         match frame {
             Ok(frame) => body.extend_from_slice(frame.data_ref().map_or(&[], |data| data)),
             Err(_) => {
-                is_whole = false;
+                is_complete = false;
                 break;
             }
         }
@@ -336,7 +336,7 @@
         status: head.status.as_u16(),
         headers: head.headers,
         body: Bytes::from(body),
-        is_whole,
+        is_complete,
     }
 }
 
@@ -388,7 +388,7 @@
                     let connection =
                         server::Builder::new().serve_connection(TokioIo::new(stream), service);
                     tokio::spawn(async move {
-                        let _caller_left = connection.await;
+                        let _ignored = connection.await;
                     });
                 }
             };
--- a/crates/ivyweir-standins/tests/promises.rs
+++ b/crates/ivyweir-standins/tests/promises.rs
@@ -1,13 +1,13 @@
 //! The judge of promises itself: what is just allowed passes, and one step beyond is named.
 
-use ivyweir_standins::edge::{Arrival, Excess, LimitPromise};
+use ivyweir_standins::edge::{Arrival, RateLimitInvariant, RateLimitViolation};
 
 /// A request of `from` at each of these times, whose answer names a limit of one a second.
 fn of(from: &str, times_ms: &[u64]) -> Vec<Arrival> {
     let arrival = |at_ms: &u64| Arrival {
         at_ms: *at_ms,
-        from: from.into(),
-        names_per_s: Some(1.0),
+        sender: from.into(),
+        advertised_per_s: Some(1.0),
     };
     times_ms.iter().map(arrival).collect()
 }
@@ -28,7 +28,7 @@
     ($($name:ident: $arrivals:expr => $requests:expr;)*) => {$(
         #[test]
         fn $name() {
-            let judged = LimitPromise::AGREED.check(&together(&$arrivals));
+            let judged = RateLimitInvariant::STANDARD.check(&together(&$arrivals));
             let requests = judged.err().map(|excess| excess.requests);
             assert_eq!(requests, $requests);
         }
@@ -60,19 +60,22 @@
 #[test]
 fn what_is_answered_without_a_limit_is_not_counted() {
     let mut arrivals = together(&[of("a", &[0]), of("a", &each_ten_ms(5_000, 12))]);
-    arrivals[5].names_per_s = None;
-    assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+    arrivals[5].advertised_per_s = None;
+    assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
 }
 
 #[test]
 fn the_highest_limit_of_a_window_counts() {
     let mut arrivals = together(&[of("a", &[0]), of("a", &each_ten_ms(5_000, 14))]);
-    arrivals[5].names_per_s = Some(1.25);
-    let excess = Excess {
+    arrivals[5].advertised_per_s = Some(1.25);
+    let excess = RateLimitViolation {
         at_ms: 5_120,
         requests: 13,
         allowed: 12.5,
     };
-    assert_eq!(LimitPromise::AGREED.check(&arrivals), Err(excess.clone()));
+    assert_eq!(
+        RateLimitInvariant::STANDARD.check(&arrivals),
+        Err(excess.clone())
+    );
     assert_eq!(excess.to_string(), "13 requests at 5120 ms, 12.5 allowed");
 }
--- a/crates/ivyweird/tests/common/soak.rs
+++ b/crates/ivyweird/tests/common/soak.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_standins::Gateway;
-use ivyweir_standins::edge::{BoxSpec, GatewayProcess, Town, any_port, eventually};
+use ivyweir_standins::edge::{BoxSpec, GatewayProcess, TestCluster, any_port, eventually};
 
 use super::BINARY;
 
@@ -31,7 +31,7 @@
 /// Boxes of a soak, each behind a proxy of its own to the store.
 pub struct Boxes {
     /// Their store and, without work, its upstreams.
-    pub town: Town,
+    pub town: TestCluster,
     /// Their ways to the store.
     pub store_paths: Vec<Gateway>,
     /// Where callers reach them.
@@ -46,9 +46,9 @@
 impl Boxes {
     /// A store and the ways to it for a box in each of these halls, none started yet.
     pub fn new(name: &str, seed: u64, halls: &'static [&'static str]) -> Self {
-        let town = Town::start(Path::new(BINARY));
+        let town = TestCluster::start(Path::new(BINARY));
         for upstream in town.engines.iter().chain(&town.services) {
-            town.store.put_upstream(&upstream.leaving());
+            town.store.put_upstream(&upstream.leaving_record());
         }
         let name = format!("ivyweir-{name}-{}-{seed}", std::process::id());
         let folder = std::env::temp_dir().join(name);
--- a/crates/ivyweird/tests/gateway_copies.rs
+++ b/crates/ivyweird/tests/gateway_copies.rs
@@ -5,7 +5,7 @@
 
 use ivyweir_gateway::message;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
-use ivyweir_standins::edge::{Town, any_port, eventually, get};
+use ivyweir_standins::edge::{TestCluster, any_port, eventually, get};
 use serde_json::Value;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
@@ -15,8 +15,8 @@
 const ZERO_REVISION: &str = "0.0";
 
 /// Two boxes of a hall, and a long list of upstreams.
-fn town() -> Town {
-    let mut town = Town::start(Path::new(BINARY));
+fn town() -> TestCluster {
+    let mut town = TestCluster::start(Path::new(BINARY));
     for n in 0..UPSTREAMS {
         town.store.put_upstream(&UpstreamRecord {
             id: format!("far-{n}").into(),
@@ -44,7 +44,7 @@
 }
 
 /// The box that the other one follows, and the other one.
-fn relay_and_follower(town: &Town) -> (usize, usize) {
+fn relay_and_follower(town: &TestCluster) -> (usize, usize) {
     let mut relay = 0;
     eventually("one box follows the other", || {
         let told = |n: usize| {
@@ -98,18 +98,18 @@
 fn boxes_that_start_together_all_get_a_long_list_and_serve() {
     let mut town = town();
     let store_addr = town.store.addr().to_string();
-    let before = town.store.calls();
+    let before = town.store.call_count();
     let late: Vec<usize> = (0..6)
         .map(|_| town.start_box("hall-a", &store_addr))
         .collect();
     for number in late {
         eventually("the box is ready", || town.is_ready(number));
         eventually("it knows the whole list", || {
-            let joined = town.boxes[number].lines_of("upstreams_joined");
+            let joined = town.boxes[number].event_lines("upstreams_joined");
             let known = joined.iter().filter_map(|line| line["upstreams"].as_u64());
             known.sum::<u64>() > UPSTREAMS as u64
         });
     }
     // Only the root watches the store, each topic for itself.
-    assert!(town.store.calls() - before < 60);
+    assert!(town.store.call_count() - before < 60);
 }
--- a/crates/ivyweird/tests/gateway_drains.rs
+++ b/crates/ivyweird/tests/gateway_drains.rs
@@ -7,7 +7,8 @@
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::site::SiteConfig;
 use ivyweir_standins::edge::{
-    Act, KEY, Reply, ScriptedUpstream, StoreFault, Town, eventually, get, post_stream, site,
+    KEY, Reply, ScriptedUpstream, StoreFault, TestCluster, UpstreamAction, eventually, get,
+    post_stream, site_config,
 };
 use ivyweir_standins::{Fault, Gateway};
 
@@ -15,7 +16,7 @@
 const HALLS: [&str; 2] = ["hall-a", "hall-b"];
 
 /// A town whose pools have an upstream in each of two halls.
-fn town(boxes: &[&str]) -> Town {
+fn town(boxes: &[&str]) -> TestCluster {
     let mut town = two_halls();
     for hall in boxes {
         town.add_box(hall);
@@ -23,8 +24,8 @@
     town
 }
 
-fn two_halls() -> Town {
-    let town = Town::start(Path::new(BINARY));
+fn two_halls() -> TestCluster {
+    let town = TestCluster::start(Path::new(BINARY));
     for pool in [&town.services, &town.engines] {
         town.store.put_upstream(&in_hall(&pool[1], HALLS[1]));
     }
@@ -38,22 +39,22 @@
     }
 }
 
-fn ask(town: &Town, number: usize, id: &str) -> Reply {
+fn ask(town: &TestCluster, number: usize, id: &str) -> Reply {
     let auth = format!("Bearer {KEY}");
     let headers = [("ivyweir-request-id", id), ("authorization", auth.as_str())];
     get(town.addr(number), "/safe/x", &headers).expect("an answer")
 }
 
 fn seen(upstream: &ScriptedUpstream) -> usize {
-    upstream.seen().len()
+    upstream.received_requests().len()
 }
 
-fn has_logged(town: &Town, number: usize, event: &str, times: usize) -> bool {
-    town.boxes[number].lines_of(event).len() >= times
+fn has_logged(town: &TestCluster, number: usize, event: &str, times: usize) -> bool {
+    town.boxes[number].event_lines(event).len() >= times
 }
 
 /// Box `number` serves 20 requests, none of them in the first hall.
-fn keeps_out_of_the_first_hall(town: &Town, number: usize) {
+fn keeps_out_of_the_first_hall(town: &TestCluster, number: usize) {
     let before = seen(&town.services[0]);
     for n in 0..20 {
         assert_eq!(ask(town, number, &format!("out-{n}")).status, 200);
@@ -62,7 +63,7 @@
 }
 
 /// Box `number` uses the first hall's upstream sooner or later.
-fn uses_the_first_hall(town: &Town, number: usize) {
+fn uses_the_first_hall(town: &TestCluster, number: usize) {
     let before = seen(&town.services[0]);
     let mut n = 0;
     eventually("the hall is used", || {
@@ -159,7 +160,7 @@
     let mut town = two_halls();
     let store_addr = town.store.addr().to_string();
     let path = Gateway::start(&store_addr).expect("a port");
-    town.add_box_behind("hall-a", &path.addr());
+    town.add_box_with_store_addr("hall-a", &path.addr());
     path.set(Fault::HalfOpen);
     eventually("the box has lost its proof", || !town.is_ready(0));
     town.store.drain_hall("hall-a");
@@ -219,8 +220,8 @@
     town.store.undrain_hall("hall-a");
     town.store.drain_hall("hall-a");
     eventually("the box has heard", || {
-        let drained = town.boxes[0].lines_of("hall_drained").len();
-        drained > 0 && drained > town.boxes[0].lines_of("hall_undrained").len()
+        let drained = town.boxes[0].event_lines("hall_drained").len();
+        drained > 0 && drained > town.boxes[0].event_lines("hall_undrained").len()
     });
     keeps_out_of_the_first_hall(&town, 0);
 }
@@ -238,15 +239,15 @@
 #[test]
 fn a_stream_is_not_resumed_in_a_drained_hall() {
     let town = town(&["hall-b"]);
-    let broken = Act::Stream {
+    let broken = UpstreamAction::Stream {
         events: 40,
         gap_ms: 50,
-        break_after: Some(30),
+        truncate_after: Some(30),
         confidence: None,
     };
     // Both break, so that the caller's stream would go on in the other hall wherever it began.
     for engine in &town.engines {
-        engine.set(broken.clone());
+        engine.set_action(broken.clone());
     }
     let addr = town.addr(0);
     let caller = std::thread::spawn(move || post_stream(addr, "/stream/x", "r1"));
@@ -264,7 +265,7 @@
 
 /// A configuration whose plain upstreams bear two requests a second for 2 s after their start.
 fn cold_site(version: u64) -> SiteConfig {
-    let mut site = site(version, &[KEY]);
+    let mut site = site_config(version, &[KEY]);
     for pool in &mut site.pools {
         pool.cold_start = Some(ColdStart {
             lasts_ms: 2_000,
@@ -276,7 +277,11 @@
 
 /// The most requests that an upstream got within a second.
 fn most_in_a_second(upstream: &ScriptedUpstream) -> usize {
-    let at: Vec<_> = upstream.seen().iter().map(|seen| seen.at).collect();
+    let at: Vec<_> = upstream
+        .received_requests()
+        .iter()
+        .map(|seen| seen.received_at)
+        .collect();
     let in_second = |from| {
         let until = from + Duration::from_secs(1);
         at.iter().filter(|&&t| t >= from && t < until).count()
@@ -307,11 +312,11 @@
         }
         seen(&town.services[0]) > 200
     });
-    let cold: Vec<_> = town.services[0].seen();
-    let first = cold[0].at;
+    let cold: Vec<_> = town.services[0].received_requests();
+    let first = cold[0].received_at;
     let while_cold = cold
         .iter()
-        .filter(|s| s.at < first + Duration::from_millis(1_000));
+        .filter(|s| s.received_at < first + Duration::from_millis(1_000));
     assert!(while_cold.count() <= 2, "more than it bears");
     assert!(
         refused.iter().any(|text| text.contains("all_cold")),
--- a/crates/ivyweird/tests/gateway_duties.rs
+++ b/crates/ivyweird/tests/gateway_duties.rs
@@ -5,14 +5,16 @@
 
 use ivyweir_policy::Name;
 use ivyweir_policy::gateway::duty::usage::UsageReport;
-use ivyweir_standins::edge::{DutyPlatform, DutyPromise, KEY, Town, WORKSPACE, eventually, get};
+use ivyweir_standins::edge::{
+    DutyInvariant, DutyPlatform, KEY, TestCluster, WORKSPACE, eventually, get,
+};
 use serde_json::json;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
 const LEASE_MS: u64 = 1_500;
 
-fn town(platform: &DutyPlatform, halls: &[&str]) -> Town {
-    let mut town = Town::start(BINARY);
+fn town(platform: &DutyPlatform, halls: &[&str]) -> TestCluster {
+    let mut town = TestCluster::start(BINARY);
     town.duties = json!({
         "addr": platform.addr(), "lease_ms": LEASE_MS, "order_upstreams": true,
         "usage": {"window_s": 1, "late_s": 4}
@@ -24,7 +26,7 @@
 }
 
 /// Sends requests to a box, all of which are answered.
-fn ask(town: &Town, number: usize, requests: usize) {
+fn ask(town: &TestCluster, number: usize, requests: usize) {
     let auth = format!("Bearer {KEY}");
     for n in 0..requests {
         let id = format!("r-{number}-{n}");
@@ -54,7 +56,7 @@
 }
 
 fn check(platform: &DutyPlatform) {
-    let promise = DutyPromise { lease_ms: LEASE_MS };
+    let promise = DutyInvariant { lease_ms: LEASE_MS };
     if let Err(breach) = promise.check(&platform.calls()) {
         panic!("{breach}");
     }
@@ -79,7 +81,7 @@
     let mut town = town(&platform, &["hall-a", "hall-b", "hall-c"]);
     ask(&town, 0, 3);
     eventually("usage is reported", || reported(&platform.reports()) == 3);
-    let holder = platform.calls()[0].from.clone();
+    let holder = platform.calls()[0].sender.clone();
     let number = town
         .boxes
         .iter()
@@ -90,7 +92,7 @@
     ask(&town, others[0], 5);
     eventually("another box reports", || reported(&platform.reports()) == 8);
     let last = platform.calls().last().expect("a call").clone();
-    assert_ne!(last.from, holder);
+    assert_ne!(last.sender, holder);
     check(&platform);
 }
 
@@ -98,11 +100,11 @@
 fn what_a_platform_does_not_take_is_told_again_as_it_was() {
     let platform = DutyPlatform::start();
     let town = town(&platform, &["hall-a"]);
-    platform.refuse(true);
+    platform.set_refusing(true);
     ask(&town, 0, 4);
     eventually("a report was refused", || !platform.calls().is_empty());
     ask(&town, 0, 2);
-    platform.refuse(false);
+    platform.set_refusing(false);
     eventually("all usage is reported", || {
         reported(&platform.reports()) == 6
     });
@@ -121,7 +123,7 @@
     eventually("all boxes detect the restore and box 1 is ready", || {
         town.boxes
             .iter()
-            .all(|b| !b.lines_of("store_restored").is_empty())
+            .all(|b| !b.event_lines("store_restored").is_empty())
             && town.is_ready(1)
     });
     ask(&town, 1, 5);
--- a/crates/ivyweird/tests/gateway_foreign.rs
+++ b/crates/ivyweird/tests/gateway_foreign.rs
@@ -3,12 +3,12 @@
 use std::path::Path;
 
 use ivyweir_gateway::dialect::Topic;
-use ivyweir_standins::edge::{KEY, ScriptedUpstream, Town, eventually, get, site};
+use ivyweir_standins::edge::{KEY, ScriptedUpstream, TestCluster, eventually, get, site_config};
 use serde_json::json;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
 
-fn served_by(town: &Town, number: usize, id: &str) -> u16 {
+fn served_by(town: &TestCluster, number: usize, id: &str) -> u16 {
     let auth = format!("Bearer {KEY}");
     let headers = [("ivyweir-request-id", id), ("authorization", auth.as_str())];
     let reply = get(town.addr(number), "/safe/x", &headers);
@@ -32,16 +32,16 @@
 
 #[test]
 fn records_of_other_writers_name_no_upstream_and_the_others_hold() {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     for (name, record) in foreign_records(2_000) {
-        town.store.put_foreign(Topic::Upstreams, &name, record);
+        town.store.put_unreadable(Topic::Upstreams, &name, record);
     }
     town.add_box("hall-a");
     town.add_box("hall-a");
     for number in 0..2 {
         assert_eq!(served_by(&town, number, "listed"), 200);
     }
-    let told = |number: usize| town.boxes[number].lines_of("record_unreadable").len();
+    let told = |number: usize| town.boxes[number].event_lines("record_unreadable").len();
     let before = told(0) + told(1);
     assert!(
         (1..=16).contains(&before),
@@ -50,7 +50,7 @@
     // More of them while boxes watch; a sound record behind them is heard.
     for (name, record) in foreign_records(40) {
         town.store
-            .put_foreign(Topic::Upstreams, &format!("late-{name}"), record);
+            .put_unreadable(Topic::Upstreams, &format!("late-{name}"), record);
     }
     let late = ScriptedUpstream::start("services-late", "services", "v1");
     town.store.put_upstream(&late.record());
@@ -64,49 +64,49 @@
 
 #[test]
 fn a_record_that_turns_unreadable_counts_as_gone() {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     for hall in ["hall-a", "hall-a", "hall-b"] {
         town.add_box(hall);
     }
     let name = town.services[0].id();
     let foreign = json!({"name": &*name, "upstream": {"id": &*name}});
-    town.store.put_foreign(Topic::Upstreams, &name, foreign);
+    town.store.put_unreadable(Topic::Upstreams, &name, foreign);
     for number in 0..3 {
         eventually("the box has heard", || {
-            let changes = town.boxes[number].lines_of("upstream_changed");
+            let changes = town.boxes[number].event_lines("upstream_changed");
             let lapsed =
                 |line: &serde_json::Value| line["upstream"] == *name && line["change"] == "Lapsed";
             changes.iter().any(lapsed)
         });
     }
-    let before = town.services[0].seen().len();
+    let before = town.services[0].received_requests().len();
     for n in 0..30 {
         assert_eq!(served_by(&town, n % 3, &format!("after-{n}")), 200);
     }
-    assert_eq!(town.services[0].seen().len(), before);
+    assert_eq!(town.services[0].received_requests().len(), before);
     // Written by itself again it is used again.
     town.store.put_upstream(&town.services[0].record());
     let mut n = 0;
     eventually("it is used again", || {
         n += 1;
         served_by(&town, n % 3, &format!("again-{n}"));
-        town.services[0].seen().len() > before
+        town.services[0].received_requests().len() > before
     });
 }
 
 #[test]
 fn a_configuration_that_turns_unreadable_leaves_the_last_one_in_force() {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     town.add_box("hall-a");
     town.store
-        .put_foreign(Topic::Site, "main", json!({"name": "main", "site": []}));
+        .put_unreadable(Topic::Site, "main", json!({"name": "main", "site": []}));
     eventually("the box has told", || {
-        !town.boxes[0].lines_of("record_unreadable").is_empty()
+        !town.boxes[0].event_lines("record_unreadable").is_empty()
     });
     assert_eq!(served_by(&town, 0, "r1"), 200);
-    town.store.put_site(&site(2, &[KEY]));
+    town.store.put_site(&site_config(2, &[KEY]));
     eventually("the next one is in force", || {
-        let seen = town.boxes[0].lines_of("site_seen");
+        let seen = town.boxes[0].event_lines("site_seen");
         seen.iter().any(|line| line["version"] == 2)
     });
 }
--- a/crates/ivyweird/tests/gateway_leaving.rs
+++ b/crates/ivyweird/tests/gateway_leaving.rs
@@ -13,37 +13,37 @@
 use std::net::TcpStream;
 
 use ivyweir_standins::edge::{
-    Act, HOST, KEY, Reply, ScriptedUpstream, StoreFault, Town, event_ids, eventually, get,
-    post_stream,
+    HOST, KEY, Reply, ScriptedUpstream, StoreFault, TestCluster, UpstreamAction, event_ids,
+    eventually, get, post_stream,
 };
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
 
-fn town(halls: &[&str]) -> Town {
-    Town::with_boxes(BINARY, halls)
+fn town(halls: &[&str]) -> TestCluster {
+    TestCluster::with_boxes(BINARY, halls)
 }
 
-fn ask(town: &Town, number: usize, path: &str) -> Reply {
+fn ask(town: &TestCluster, number: usize, path: &str) -> Reply {
     let auth = format!("Bearer {KEY}");
     let headers = [("ivyweir-request-id", "r"), ("authorization", &auth)];
     get(town.addr(number), path, &headers).expect("an answer")
 }
 
-fn stream(town: &Town, number: usize) -> Reply {
+fn stream(town: &TestCluster, number: usize) -> Reply {
     post_stream(town.addr(number), "/stream/x", "r").expect("an answer")
 }
 
 fn seen(upstream: &ScriptedUpstream) -> usize {
-    upstream.seen().len()
+    upstream.received_requests().len()
 }
 
 /// Lets the first engine say that it leaves, until it has said so to the first box.
-fn say_leaving_while_the_store_is_out(town: &Town) {
+fn say_leaving_while_the_store_is_out(town: &TestCluster) {
     town.store.set_fault(StoreFault::Silent);
-    town.engines[0].say_leaving();
+    town.engines[0].advertise_leaving();
     eventually("the box has its word", || {
         stream(town, 0);
-        let relaying = town.boxes[0].lines_of("relaying");
+        let relaying = town.boxes[0].event_lines("relaying");
         relaying.iter().any(|line| line["leaving"] == true)
     });
 }
@@ -51,15 +51,15 @@
 #[test]
 fn what_an_upstream_said_of_leaving_holds_when_the_store_is_back_and_says_otherwise() {
     let town = town(&["hall-a"]);
-    let act = Act::Stream {
+    let act = UpstreamAction::Stream {
         events: 2,
         gap_ms: 1,
-        break_after: None,
+        truncate_after: None,
         confidence: None,
     };
     town.engines
         .iter()
-        .for_each(|engine| engine.set(act.clone()));
+        .for_each(|engine| engine.set_action(act.clone()));
     say_leaving_while_the_store_is_out(&town);
     eventually("the box has lost its proof", || !town.is_ready(0));
     let before = seen(&town.engines[0]);
@@ -74,11 +74,11 @@
 /// How the word reaches the box: what the first upstream of a pool does with a request, and the request.
 struct Way {
     path: &'static str,
-    act: Act,
+    act: UpstreamAction,
 }
 
 impl Way {
-    fn upstreams<'a>(&self, town: &'a Town) -> &'a [ScriptedUpstream] {
+    fn upstreams<'a>(&self, town: &'a TestCluster) -> &'a [ScriptedUpstream] {
         let is_engine = ["/stream/", "/sized/"]
             .iter()
             .any(|p| self.path.starts_with(p));
@@ -89,16 +89,16 @@
         }
     }
 
-    fn send(&self, town: &Town) -> Reply {
+    fn send(&self, town: &TestCluster) -> Reply {
         post_stream(town.addr(0), self.path, "r").expect("an answer")
     }
 }
 
-fn events(confidence: Option<u8>, break_after: Option<u64>) -> Act {
-    Act::Stream {
+fn events(confidence: Option<u8>, break_after: Option<u64>) -> UpstreamAction {
+    UpstreamAction::Stream {
         events: 3,
         gap_ms: 1,
-        break_after,
+        truncate_after: break_after,
         confidence,
     }
 }
@@ -112,19 +112,19 @@
             let town = town(&["hall-a"]);
             let way = Way { path: $path, act: $act };
             let (leaving, other) = way.upstreams(&town).split_first().expect("two upstreams");
-            other[0].set(if way.path.starts_with("/s") && way.path != "/safe/x" {
+            other[0].set_action(if way.path.starts_with("/s") && way.path != "/safe/x" {
                 events(Some(100), None)
             } else {
-                Act::Answer(200)
+                UpstreamAction::Answer(200)
             });
-            leaving.set(way.act.clone());
-            leaving.say_leaving();
+            leaving.set_action(way.act.clone());
+            leaving.advertise_leaving();
             eventually("it was asked", || {
                 way.send(&town);
                 seen(leaving) > 0
             });
             let before = seen(leaving);
-            leaving.set(events(Some(100), None));
+            leaving.set_action(events(Some(100), None));
             town.store.put_upstream(&leaving.record());
             for path in ["/safe/x", "/unsafe/x", "/stream/x", "/sized/x"] {
                 for _ in 0..10 {
@@ -133,7 +133,7 @@
             }
             assert_eq!(seen(leaving), before);
             let changes = || {
-                let lines = town.boxes[0].lines_of("upstream_changed");
+                let lines = town.boxes[0].event_lines("upstream_changed");
                 lines.iter().filter(|line| line["source"] == "answer").count()
             };
             eventually("the change is in the log", || changes() > 0);
@@ -143,13 +143,13 @@
 }
 
 heard! {
-    in_a_whole_answer: "/unsafe/x", Act::Answer(200);
-    in_a_failure_that_is_passed_on: "/unsafe/x", Act::Answer(500);
-    in_a_failure_that_is_repeated_elsewhere: "/safe/x", Act::Answer(500);
-    in_a_refusal: "/safe/x", Act::NotRun;
-    in_an_answer_that_breaks_off: "/safe/x", Act::BreakOff;
-    in_an_answer_without_a_signature: "/unsafe/x", Act::Unsigned;
-    in_an_answer_to_another_request: "/unsafe/x", Act::WrongId;
+    in_a_whole_answer: "/unsafe/x", UpstreamAction::Answer(200);
+    in_a_failure_that_is_passed_on: "/unsafe/x", UpstreamAction::Answer(500);
+    in_a_failure_that_is_repeated_elsewhere: "/safe/x", UpstreamAction::Answer(500);
+    in_a_refusal: "/safe/x", UpstreamAction::NotRun;
+    in_an_answer_that_breaks_off: "/safe/x", UpstreamAction::TruncateBody;
+    in_an_answer_without_a_signature: "/unsafe/x", UpstreamAction::Unsigned;
+    in_an_answer_to_another_request: "/unsafe/x", UpstreamAction::WrongId;
     in_the_head_of_a_stream: "/stream/x", events(None, None);
     in_a_stream_that_goes_on_elsewhere: "/stream/x", events(None, Some(1));
     in_a_smaller_models_answer_that_is_put_aside: "/sized/x", events(Some(3), None);
@@ -158,16 +158,16 @@
 #[test]
 fn a_caller_that_gives_up_behind_the_head_leaves_the_word_behind() {
     let town = town(&["hall-a"]);
-    let long = Act::Stream {
+    let long = UpstreamAction::Stream {
         events: 1_000,
         gap_ms: 20,
-        break_after: None,
+        truncate_after: None,
         confidence: None,
     };
     town.engines
         .iter()
-        .for_each(|engine| engine.set(long.clone()));
-    town.engines[0].say_leaving();
+        .for_each(|engine| engine.set_action(long.clone()));
+    town.engines[0].advertise_leaving();
     eventually("it was asked", || {
         read_head(&town, "/stream/x");
         seen(&town.engines[0]) > 0
@@ -180,7 +180,7 @@
 }
 
 /// Asks for a stream, reads the head of the answer and leaves.
-fn read_head(town: &Town, path: &str) {
+fn read_head(town: &TestCluster, path: &str) {
     let mut caller = TcpStream::connect(town.addr(0)).expect("a connection");
     let request = format!(
         "GET {path} HTTP/1.1\r\nhost: {HOST}\r\nivyweir-request-id: r\r\nauthorization: Bearer {KEY}\r\n\r\n"
@@ -198,16 +198,16 @@
         fn $name() {
             let town = town(&["hall-a"]);
             for (leaving, path) in [(&town.services[0], "/unsafe/x"), (&town.engines[0], "/stream/x")] {
-                leaving.set(events(Some(100), None));
-                leaving.say_leaving();
+                leaving.set_action(events(Some(100), None));
+                leaving.advertise_leaving();
                 eventually("it was asked", || {
                     post_stream(town.addr(0), path, "r").expect("an answer");
                     seen(leaving) > 0
                 });
             }
             let before = (seen(&town.services[0]), seen(&town.engines[0]));
-            town.services[1].set($act);
-            town.engines[1].set($act);
+            town.services[1].set_action($act);
+            town.engines[1].set_action($act);
             for _ in 0..10 {
                 let reply = post_stream(town.addr(0), $path, "r").expect("an answer");
                 assert_eq!(reply.status, $status);
@@ -218,11 +218,11 @@
 }
 
 sends! {
-    no_first_try_of_a_plain_request: "/safe/x", the_other Act::Answer(200) => 200;
-    no_first_try_of_a_request_that_may_run_once: "/unsafe/x", the_other Act::Answer(200) => 200;
-    no_repeat_of_a_failed_request: "/safe/x", the_other Act::Answer(500) => 502;
-    no_repeat_of_a_refused_request: "/unsafe/x", the_other Act::NotRun => 503;
-    no_repeat_of_a_lost_one: "/safe/x", the_other Act::Close => 502;
+    no_first_try_of_a_plain_request: "/safe/x", the_other UpstreamAction::Answer(200) => 200;
+    no_first_try_of_a_request_that_may_run_once: "/unsafe/x", the_other UpstreamAction::Answer(200) => 200;
+    no_repeat_of_a_failed_request: "/safe/x", the_other UpstreamAction::Answer(500) => 502;
+    no_repeat_of_a_refused_request: "/unsafe/x", the_other UpstreamAction::NotRun => 503;
+    no_repeat_of_a_lost_one: "/safe/x", the_other UpstreamAction::Close => 502;
     no_larger_model: "/sized/x", the_other events(Some(3), None) => 200;
     no_stream: "/stream/x", the_other events(None, None) => 200;
     no_resumption_of_a_stream: "/stream/x", the_other events(None, Some(1)) => 200;
@@ -234,11 +234,11 @@
     let act = events(None, None);
     town.engines
         .iter()
-        .for_each(|engine| engine.set(act.clone()));
+        .for_each(|engine| engine.set_action(act.clone()));
     say_leaving_while_the_store_is_out(&town);
     for number in 1..4 {
         eventually("the box has heard", || {
-            let changes = town.boxes[number].lines_of("upstream_changed");
+            let changes = town.boxes[number].event_lines("upstream_changed");
             changes.iter().any(|line| line["source"] == "peer")
         });
     }
@@ -259,8 +259,8 @@
 fn an_upstream_that_wants_nothing_for_a_while_gets_nothing() {
     let town = town(&["hall-a"]);
     for service in &town.services {
-        service.set(Act::NotRun);
-        service.say_retry_after("60");
+        service.set_action(UpstreamAction::NotRun);
+        service.set_retry_after("60");
     }
     for _ in 0..20 {
         assert_eq!(ask(&town, 0, "/unsafe/x").status, 503);
@@ -271,10 +271,10 @@
 }
 
 /// Both services refuse one request each and want nothing for so many seconds; then they serve.
-fn refuse_once(town: &Town, seconds: &str) {
+fn refuse_once(town: &TestCluster, seconds: &str) {
     for service in &town.services {
-        service.set_next(vec![Act::NotRun]);
-        service.say_retry_after(seconds);
+        service.set_next_actions(vec![UpstreamAction::NotRun]);
+        service.set_retry_after(seconds);
     }
     // A request that may run again is sent to both.
     assert_eq!(ask(town, 0, "/safe/x").status, 503);
@@ -319,18 +319,18 @@
         fn $name() {
             let town = town(&["hall-a"]);
             let (full, breaking) = (&town.engines[0], &town.engines[1]);
-            breaking.set(events(None, Some(1)));
-            full.set(events(None, None));
-            full.set_next(vec![Act::NotRun]);
-            full.say_retry_after($seconds);
+            breaking.set_action(events(None, Some(1)));
+            full.set_action(events(None, None));
+            full.set_next_actions(vec![UpstreamAction::NotRun]);
+            full.set_retry_after($seconds);
             // The first one goes to the full one, or breaks off and goes there next.
             eventually("the full one has refused", || {
                 stream(&town, 0);
-                full.seen().iter().any(|seen| !seen.ran)
+                full.received_requests().iter().any(|seen| !seen.was_run)
             });
             let reply = stream(&town, 0);
             assert_eq!(reply.status, 200);
-            assert_eq!(reply.is_whole, $whole);
+            assert_eq!(reply.is_complete, $whole);
             if $whole {
                 assert_eq!(event_ids(&reply.text()), [1, 2, 3]);
             }
@@ -366,7 +366,7 @@
     let seen: Vec<_> = town
         .services
         .iter()
-        .flat_map(ScriptedUpstream::seen)
+        .flat_map(ScriptedUpstream::received_requests)
         .collect();
     assert!(
         seen.iter()
--- a/crates/ivyweird/tests/gateway_log.rs
+++ b/crates/ivyweird/tests/gateway_log.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, ChildStdout, Command, Stdio};
 
 use ivyweir_standins::edge::{
-    Act, BoxSpec, KEY, Town, any_port, eventually, gateway_settings, get,
+    BoxSpec, KEY, TestCluster, UpstreamAction, any_port, eventually, gateway_settings, get,
 };
 use serde_json::{Value, json};
 
@@ -90,9 +90,9 @@
 
 #[test]
 fn a_log_that_nobody_reads_holds_no_request_up() {
-    let town = Town::start(Path::new(BINARY));
+    let town = TestCluster::start(Path::new(BINARY));
     for service in &town.services {
-        service.set(Act::Answer(500));
+        service.set_action(UpstreamAction::Answer(500));
     }
     let piped = Piped::start("stalled", town.store.addr());
     eventually("the box is ready", || piped.is_ready());
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_request_has_all_its_lines_or_none() {
-    let town = Town::start(Path::new(BINARY));
+    let town = TestCluster::start(Path::new(BINARY));
     let piped = Piped::start("thinned", town.store.addr());
     eventually("the box is ready", || piped.is_ready());
     for n in 0..200 {
@@ -151,10 +151,10 @@
     ($($name:ident: $names:expr => $lines:expr, $others:expr;)*) => {$(
         #[test]
         fn $name() {
-            let town = Town::with_boxes(BINARY, &["hall-a"]);
+            let town = TestCluster::with_boxes(BINARY, &["hall-a"]);
             for service in &town.services {
                 for n in 0..$names {
-                    service.say(&format!("ivyweir-mood-{n}"), "good");
+                    service.add_header(&format!("ivyweir-mood-{n}"), "good");
                 }
             }
             for n in 0..4 {
@@ -162,7 +162,7 @@
                 let reply = get(town.addr(0), "/safe/x", &headers).expect("an answer");
                 assert_eq!(reply.status, 200, "request {n}");
             }
-            let told = || town.boxes[0].lines_of("header_unread").len();
+            let told = || town.boxes[0].event_lines("header_unread").len();
             eventually("the names are told", || told() >= $lines);
             assert_eq!(told(), $lines);
             let metrics = get(town.boxes[0].metrics_addr, "/metrics", &[]).expect("metrics").text();
--- a/crates/ivyweird/tests/gateway_proofs.rs
+++ b/crates/ivyweird/tests/gateway_proofs.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::gateway::relay::BoxRecord;
-use ivyweir_standins::edge::{PeerFilter, Town, eventually, post_stream};
+use ivyweir_standins::edge::{PeerFilter, TestCluster, eventually, post_stream};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
 /// Time since a leaving or a drain was acknowledged from which nothing more may reach the upstream: the bounds in the boxes'
@@ -48,16 +48,16 @@
     ($($name:ident: $topic:expr, within $bound:expr, $tell:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut town = Town::start(Path::new(BINARY));
+            let mut town = TestCluster::start(Path::new(BINARY));
             let hall = hall_of_the_first();
             town.add_box(&hall);
             let filter = PeerFilter::start(town.boxes[0].peer_addr);
             town.boxes[0].peer_addr = filter.addr();
             let follower = town.add_box(&hall);
-            eventually("it follows the first one", || filter.asked($topic) > 0);
-            filter.refuse($topic);
+            eventually("it follows the first one", || filter.query_count($topic) > 0);
+            filter.refuse_topic($topic);
             let told_at = Instant::now();
-            let tell: fn(&Town) = $tell;
+            let tell: fn(&TestCluster) = $tell;
             tell(&town);
             let mut number = 0;
             while told_at.elapsed() < $bound + ASKED_FOR {
@@ -66,8 +66,8 @@
                 number += 1;
                 thread::sleep(PAUSE);
             }
-            let seen = town.services[0].seen();
-            let late = seen.iter().filter(|seen| seen.at > told_at + $bound);
+            let seen = town.services[0].received_requests();
+            let late = seen.iter().filter(|seen| seen.received_at > told_at + $bound);
             assert_eq!(late.count(), 0, "of {number} requests");
         }
     )*};
@@ -75,7 +75,7 @@
 
 refused! {
     a_relays_proof_counts_only_with_what_it_knows_of_upstreams: "upstreams", within LEFT,
-        |town| town.store.put_upstream(&town.services[0].leaving());
+        |town| town.store.put_upstream(&town.services[0].leaving_record());
     a_relays_proof_counts_only_with_what_it_knows_of_drained_halls: "drained_halls", within DRAINED,
         |town| town.store.drain_hall(&town.services[0].record().hall);
 }
--- a/crates/ivyweird/tests/gateway_quarantine.rs
+++ b/crates/ivyweird/tests/gateway_quarantine.rs
@@ -20,7 +20,7 @@
 
 use bytes::Bytes;
 use ivyweir_standins::edge::{
-    Act, KEY, Reply, ScriptedUpstream, Town, call, eventually, post_stream,
+    KEY, Reply, ScriptedUpstream, TestCluster, UpstreamAction, call, eventually, post_stream,
 };
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
@@ -33,36 +33,42 @@
 const ENDS: usize = 3;
 
 /// Upstreams in place of a town's own ones, which end on the harmful request.
-fn fragile(town: &mut Town, pool: &str, act: Act) -> Vec<ScriptedUpstream> {
+fn fragile(town: &mut TestCluster, pool: &str, act: UpstreamAction) -> Vec<ScriptedUpstream> {
     let own = if pool == "engines" {
         std::mem::take(&mut town.engines)
     } else {
         std::mem::take(&mut town.services)
     };
     for upstream in own {
-        town.store.put_upstream(&upstream.leaving());
+        town.store.put_upstream(&upstream.leaving_record());
     }
     (0..UPSTREAMS)
         .map(|n| {
             let id = format!("fragile-{pool}-{n}");
-            let upstream = ScriptedUpstream::start_alone(&id, pool, "v1");
-            upstream.set(Act::Stream {
+            let upstream = ScriptedUpstream::start_on_own_ip(&id, pool, "v1");
+            upstream.set_action(UpstreamAction::Stream {
                 events: 3,
                 gap_ms: 5,
-                break_after: None,
+                truncate_after: None,
                 confidence: None,
             });
             if pool == "services" {
-                upstream.set(Act::Answer(200));
+                upstream.set_action(UpstreamAction::Answer(200));
             }
-            upstream.set_for(HARMFUL, act.clone());
+            upstream.set_action_for_body(HARMFUL, act.clone());
             town.store.put_upstream(&upstream.record());
             upstream
         })
         .collect()
 }
 
-fn post(town: &Town, number: usize, path: &str, id: &str, body: &'static [u8]) -> Option<Reply> {
+fn post(
+    town: &TestCluster,
+    number: usize,
+    path: &str,
+    id: &str,
+    body: &'static [u8],
+) -> Option<Reply> {
     let auth = format!("Bearer {KEY}");
     let headers = [
         ("ivyweir-request-id", id),
@@ -82,7 +88,9 @@
 
 /// Times that the harmful request reached an upstream.
 fn harmful_sends(upstreams: &[ScriptedUpstream]) -> usize {
-    let all = upstreams.iter().flat_map(|upstream| upstream.seen());
+    let all = upstreams
+        .iter()
+        .flat_map(|upstream| upstream.received_requests());
     all.filter(|seen| seen.body == HARMFUL).count()
 }
 
@@ -90,11 +98,11 @@
     reply.is_some_and(|reply| reply.status == 503 && reply.text().contains("quarantined"))
 }
 
-const STREAM_THAT_ENDS: Act = Act::End { after_events: 1 };
+const STREAM_THAT_ENDS: UpstreamAction = UpstreamAction::Exit { after_events: 1 };
 
 #[test]
 fn the_log_tells_two_tries_of_a_request_by_its_content_and_who_was_at_an_upstream_that_ended() {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     town.add_box("hall-a");
     town.add_box("hall-b");
     let engines = fragile(&mut town, "engines", STREAM_THAT_ENDS);
@@ -108,7 +116,7 @@
     let fingerprint = |number: usize, id: &str| {
         let mut found = None;
         eventually("the request is in the log", || {
-            let lines = town.boxes[number].lines_about(id);
+            let lines = town.boxes[number].request_lines(id);
             let admitted = lines.iter().find(|line| line["event"] == "admitted");
             found = admitted.and_then(|line| Some(line["fingerprint"].as_str()?.to_owned()));
             found.is_some()
@@ -126,7 +134,7 @@
     post(&town, 1, "/stream/x", "harmful-2", HARMFUL);
     assert_eq!(fingerprint(1, "harmful-2"), harmful);
     eventually("the ends are in the log", || {
-        let ended = town.boxes[0].lines_of("upstream_ended");
+        let ended = town.boxes[0].event_lines("upstream_ended");
         let names = |line: &serde_json::Value| line["fingerprints"][0] == harmful.as_str();
         ended.iter().any(names)
     });
@@ -137,7 +145,7 @@
     ($($name:ident: $pool:expr, $path:expr, $act:expr, tries $tries:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut town = Town::start(Path::new(BINARY));
+            let mut town = TestCluster::start(Path::new(BINARY));
             let upstreams = fragile(&mut town, $pool, $act);
             town.add_box("hall-a");
             for n in 0..$tries {
@@ -150,20 +158,20 @@
             assert_eq!(harmful_sends(&upstreams), ENDS);
             // Whoever else comes is served.
             let other = post(&town, 0, $path, "harmless", b"another body").expect("an answer");
-            assert_eq!((other.status, other.is_whole), (200, true));
+            assert_eq!((other.status, other.is_complete), (200, true));
         }
     )*};
 }
 
 one_box! {
     a_stream_that_ends_three_engines_is_sent_no_more: "engines", "/stream/x", STREAM_THAT_ENDS, tries 1;
-    a_stream_that_ends_them_before_its_first_event_is_sent_no_more: "engines", "/stream/x", Act::End { after_events: 0 }, tries 1;
-    a_call_that_may_not_be_repeated_is_sent_no_more_after_three_tries: "services", "/unsafe/x", Act::End { after_events: 0 }, tries 3;
+    a_stream_that_ends_them_before_its_first_event_is_sent_no_more: "engines", "/stream/x", UpstreamAction::Exit { after_events: 0 }, tries 1;
+    a_call_that_may_not_be_repeated_is_sent_no_more_after_three_tries: "services", "/unsafe/x", UpstreamAction::Exit { after_events: 0 }, tries 3;
 }
 
 #[test]
 fn other_boxes_refuse_what_ended_upstreams_of_one() {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     let engines = fragile(&mut town, "engines", STREAM_THAT_ENDS);
     for hall in ["hall-a", "hall-a", "hall-b"] {
         town.add_box(hall);
@@ -172,7 +180,7 @@
     assert_eq!(harmful_sends(&engines), ENDS);
     for number in 0..3 {
         eventually("the box has heard", || {
-            let known = town.boxes[number].lines_of("quarantined");
+            let known = town.boxes[number].event_lines("quarantined");
             !known.is_empty()
         });
     }
@@ -191,8 +199,12 @@
 
 #[test]
 fn ends_seen_by_several_boxes_are_added_up() {
-    let mut town = Town::start(Path::new(BINARY));
-    let services = fragile(&mut town, "services", Act::End { after_events: 0 });
+    let mut town = TestCluster::start(Path::new(BINARY));
+    let services = fragile(
+        &mut town,
+        "services",
+        UpstreamAction::Exit { after_events: 0 },
+    );
     for hall in ["hall-a", "hall-a", "hall-b"] {
         town.add_box(hall);
     }
@@ -204,7 +216,7 @@
     assert_eq!(harmful_sends(&services), ENDS);
     for number in 0..3 {
         eventually("the box has heard", || {
-            let known = town.boxes[number].lines_of("quarantined");
+            let known = town.boxes[number].event_lines("quarantined");
             !known.is_empty()
         });
         assert!(is_quarantined(post(
@@ -219,8 +231,8 @@
 }
 
 /// A town of one box in which the harmful request is quarantined and kept.
-fn quarantined_town() -> (Town, Vec<ScriptedUpstream>) {
-    let mut town = Town::start(Path::new(BINARY));
+fn quarantined_town() -> (TestCluster, Vec<ScriptedUpstream>) {
+    let mut town = TestCluster::start(Path::new(BINARY));
     let engines = fragile(&mut town, "engines", STREAM_THAT_ENDS);
     town.add_box("hall-a");
     post(&town, 0, "/stream/x", "first", HARMFUL);
@@ -236,7 +248,7 @@
     town.boxes.clear();
     town.add_box("hall-a");
     eventually("the box has heard", || {
-        let known = town.boxes[0].lines_of("quarantined");
+        let known = town.boxes[0].event_lines("quarantined");
         !known.is_empty()
     });
     assert!(is_quarantined(post(
@@ -254,19 +266,19 @@
     let (town, engines) = quarantined_town();
     town.store.lift_quarantines();
     for engine in &engines {
-        engine.set_for(
+        engine.set_action_for_body(
             HARMFUL,
-            Act::Stream {
+            UpstreamAction::Stream {
                 events: 3,
                 gap_ms: 5,
-                break_after: None,
+                truncate_after: None,
                 confidence: None,
             },
         );
     }
     eventually("it is served again", || {
         let reply = post(&town, 0, "/stream/x", "again", HARMFUL);
-        reply.is_some_and(|reply| reply.status == 200 && reply.is_whole)
+        reply.is_some_and(|reply| reply.status == 200 && reply.is_complete)
     });
 }
 
@@ -277,7 +289,7 @@
     town.store.restore();
     town.store.replay_lost_writes();
     eventually("the store keeps it", || town.store.quarantines().len() == 1);
-    let ended = town.boxes[0].lines_of("quarantine_ended");
+    let ended = town.boxes[0].event_lines("quarantine_ended");
     assert!(ended.is_empty(), "{ended:?}");
     eventually("the box refuses it", || {
         is_quarantined(post(&town, 0, "/stream/x", "again", HARMFUL))
--- a/crates/ivyweird/tests/gateway_restored.rs
+++ b/crates/ivyweird/tests/gateway_restored.rs
@@ -1,7 +1,7 @@
 //! Boxes whose revisions are ahead of a store restored from a backup, which reuses the revision numbers.
 
 use ivyweir_standins::edge::{
-    GatewayProcess, KEY, ScriptedUpstream, StoreFault, Town, eventually, site,
+    GatewayProcess, KEY, ScriptedUpstream, StoreFault, TestCluster, eventually, site_config,
 };
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
@@ -21,18 +21,18 @@
     Reused,
 }
 
-fn eventually_at_all(town: &Town, what: &str, condition: impl Fn(usize) -> bool) {
+fn eventually_at_all(town: &TestCluster, what: &str, condition: impl Fn(usize) -> bool) {
     for number in 0..town.boxes.len() {
         eventually(what, || condition(number));
     }
 }
 
 /// Starts boxes that have adopted writes missing from the backup.
-fn town() -> Town {
-    let town = Town::with_boxes(BINARY, &HALLS);
+fn town() -> TestCluster {
+    let town = TestCluster::with_boxes(BINARY, &HALLS);
     town.store.back_up();
     for version in 2..=5 {
-        town.store.put_site(&site(version, &[KEY, "second"]));
+        town.store.put_site(&site_config(version, &[KEY, "second"]));
     }
     let late = ScriptedUpstream::start("engines-late", "engines", "v1");
     town.store.put_upstream(&late.record());
@@ -45,18 +45,18 @@
     town
 }
 
-fn has_logged_change(town: &Town, number: usize, changes: &[&str]) -> bool {
-    let seen = town.boxes[number].lines_of("upstream_changed");
+fn has_logged_change(town: &TestCluster, number: usize, changes: &[&str]) -> bool {
+    let seen = town.boxes[number].event_lines("upstream_changed");
     let mut changed = seen.iter().filter_map(|line| line["change"].as_str());
     changed.any(|change| changes.contains(&change))
 }
 
 /// Restores the store during the given outage, and writes to it before or after boxes reach it again.
-fn restore(town: &Town, outage: Outage, revisions: Revisions, write: impl Fn(&Town)) {
+fn restore(town: &TestCluster, outage: Outage, revisions: Revisions, write: impl Fn(&TestCluster)) {
     if let Outage::Fault(fault) = outage {
         town.store.set_fault(fault);
         eventually("the outage is noticed", || {
-            let has_lost = |b: &GatewayProcess| !b.lines_of("store_lost").is_empty();
+            let has_lost = |b: &GatewayProcess| !b.event_lines("store_lost").is_empty();
             town.boxes.iter().any(has_lost)
         });
     }
@@ -77,7 +77,7 @@
 fn a_withdrawn_key_is_refused(outage: Outage, revisions: Revisions) {
     let town = town();
     restore(&town, outage, revisions, |town| {
-        town.store.put_site(&site(8, &["third"]));
+        town.store.put_site(&site_config(8, &["third"]));
     });
     eventually_at_all(&town, "the new key works", |number| {
         town.status(number, "third") == 200
@@ -92,7 +92,7 @@
 fn a_leaving_upstream_gets_no_more_work(outage: Outage, revisions: Revisions) {
     let town = town();
     restore(&town, outage, revisions, |town| {
-        town.store.put_upstream(&town.services[0].leaving());
+        town.store.put_upstream(&town.services[0].leaving_record());
     });
     eventually_at_all(&town, "the box knows that it leaves or left", |number| {
         has_logged_change(&town, number, &["Leaving", "Lapsed"])
@@ -100,13 +100,13 @@
     eventually_at_all(&town, "the box serves", |number| {
         town.status(number, KEY) == 200
     });
-    let before = town.services[0].seen().len();
+    let before = town.services[0].received_requests().len();
     for number in 0..town.boxes.len() {
         for _ in 0..10 {
             assert_eq!(town.status(number, KEY), 200);
         }
     }
-    assert_eq!(town.services[0].seen().len(), before);
+    assert_eq!(town.services[0].received_requests().len(), before);
 }
 
 macro_rules! restore_tests {
--- a/crates/ivyweird/tests/gateway_settling.rs
+++ b/crates/ivyweird/tests/gateway_settling.rs
@@ -2,7 +2,9 @@
 
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_policy::gateway::rollout::RolloutState;
-use ivyweir_standins::edge::{KEY, ScriptedUpstream, StoreFault, Town, eventually, site};
+use ivyweir_standins::edge::{
+    KEY, ScriptedUpstream, StoreFault, TestCluster, eventually, site_config,
+};
 use serde_json::{Value, json};
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
@@ -12,8 +14,8 @@
 const SHORT_SETTLE_MS: u64 = 300;
 
 /// Starts boxes with the given policy, and one upstream of each pool in each of two halls.
-fn town(store_settle_ms: u64, unproven_keys: &str) -> Town {
-    let mut town = Town::start(BINARY);
+fn town(store_settle_ms: u64, unproven_keys: &str) -> TestCluster {
+    let mut town = TestCluster::start(BINARY);
     town.policy = json!({"store_settle_ms": store_settle_ms, "unproven_keys": unproven_keys});
     for pool in [&town.services, &town.engines] {
         town.store.put_upstream(&UpstreamRecord {
@@ -27,27 +29,27 @@
     town
 }
 
-fn has_logged(town: &Town, number: usize, event: &str) -> bool {
-    !town.boxes[number].lines_of(event).is_empty()
+fn has_logged(town: &TestCluster, number: usize, event: &str) -> bool {
+    !town.boxes[number].event_lines(event).is_empty()
 }
 
-fn all_have_logged(town: &Town, event: &str) {
+fn all_have_logged(town: &TestCluster, event: &str) {
     for number in 0..town.boxes.len() {
         eventually(event, || has_logged(town, number, event));
     }
 }
 
 /// Restores the store and waits until all boxes have detected it.
-fn restore(town: &Town) {
+fn restore(town: &TestCluster) {
     town.store.restore();
     all_have_logged(town, "store_restored");
 }
 
-fn first_upstream_requests(town: &Town) -> usize {
-    town.services[0].seen().len()
+fn first_upstream_requests(town: &TestCluster) -> usize {
+    town.services[0].received_requests().len()
 }
 
-fn assert_first_upstream_unused(town: &Town) {
+fn assert_first_upstream_unused(town: &TestCluster) {
     let before = first_upstream_requests(town);
     for number in 0..town.boxes.len() {
         for _ in 0..20 {
@@ -57,7 +59,7 @@
     assert_eq!(first_upstream_requests(town), before);
 }
 
-fn await_first_upstream_used(town: &Town) {
+fn await_first_upstream_used(town: &TestCluster) {
     for number in 0..town.boxes.len() {
         let before = first_upstream_requests(town);
         eventually("the upstream is used", || {
@@ -67,18 +69,18 @@
     }
 }
 
-fn drain_first_upstream_hall(town: &Town) {
+fn drain_first_upstream_hall(town: &TestCluster) {
     town.store.drain_hall("hall-a");
     all_have_logged(town, "hall_drained");
 }
 
-fn remove_first_upstream_record(town: &Town) {
+fn remove_first_upstream_record(town: &TestCluster) {
     town.store.remove_upstream(town.services[0].record().name());
     all_have_logged(town, "upstream_forgotten");
 }
 
 /// Guards against the use of an upstream that the restored store lists although it was taken out of use.
-fn first_upstream_stays_unused(take_out_of_use: fn(&Town)) {
+fn first_upstream_stays_unused(take_out_of_use: fn(&TestCluster)) {
     let town = town(LONG_SETTLE_MS, "serve");
     await_first_upstream_used(&town);
     town.store.back_up();
@@ -90,7 +92,7 @@
 }
 
 /// Guards against an upstream staying out of use although nobody repeated the lost write.
-fn first_upstream_is_used_again(take_out_of_use: fn(&Town)) {
+fn first_upstream_is_used_again(take_out_of_use: fn(&TestCluster)) {
     let town = town(SHORT_SETTLE_MS, "refuse");
     await_first_upstream_used(&town);
     town.store.back_up();
@@ -120,7 +122,7 @@
     let town = town(LONG_SETTLE_MS, "refuse");
     town.store.back_up();
     town.store.set_fault(StoreFault::Silent);
-    town.store.put_site(&site(2, &["second"]));
+    town.store.put_site(&site_config(2, &["second"]));
     town.store.restore();
     town.store.set_fault(StoreFault::None);
     for number in 0..HALLS.len() {
@@ -144,14 +146,17 @@
     let mut town = town(SETTLE_MS, "refuse");
     town.store.back_up();
     restore(&town);
-    let first = town.boxes.iter().flat_map(|b| b.lines_of("store_restored"));
+    let first = town
+        .boxes
+        .iter()
+        .flat_map(|b| b.event_lines("store_restored"));
     let restored_ms = first.map(|line| epoch_ms(&line)).min().expect("a restore");
     for hall in ["hall-a", "hall-b", "hall-c"] {
         let number = town.add_box(hall);
         eventually("it logs that it is ready", || {
             has_logged(&town, number, "readiness")
         });
-        let ready_ms = epoch_ms(&town.boxes[number].lines_of("readiness")[0]);
+        let ready_ms = epoch_ms(&town.boxes[number].event_lines("readiness")[0]);
         assert!(ready_ms + ROUNDING_MS >= restored_ms + SETTLE_MS);
     }
 }
@@ -170,8 +175,8 @@
     town.store.replay_lost_writes();
     eventually("the completion is written again", is_completed);
     for running_box in &town.boxes {
-        let restored_ms = epoch_ms(&running_box.lines_of("store_restored")[0]);
-        let steps = running_box.lines_of("rollout_step");
+        let restored_ms = epoch_ms(&running_box.event_lines("store_restored")[0]);
+        let steps = running_box.event_lines("rollout_step");
         let mut steps_after_restore = steps.iter().filter(|step| epoch_ms(step) > restored_ms);
         assert!(
             steps_after_restore.all(|step| step["duty"] == "Complete"),
@@ -183,7 +188,7 @@
 /// Guards against boxes that treat the first era they learn from the store as a restore.
 #[test]
 fn boxes_that_start_at_a_nonzero_era_detect_no_restore() {
-    let mut town = Town::start(BINARY);
+    let mut town = TestCluster::start(BINARY);
     town.store.back_up();
     town.store.restore();
     town.store.restore();
--- a/crates/ivyweird/tests/gateway_soak/judge.rs
+++ b/crates/ivyweird/tests/gateway_soak/judge.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use ivyweir_policy::Name;
-use ivyweir_standins::edge::{Arrival, LimitPromise, Seen, event_ids};
+use ivyweir_standins::edge::{Arrival, RateLimitInvariant, ReceivedRequest, event_ids};
 
 use super::callers::{Asked, number_of};
 use super::{EVENTS, Soak};
@@ -30,19 +30,24 @@
         let mut ran: HashMap<String, Vec<Instant>> = HashMap::new();
         let mut broken = Vec::new();
         for proxied in &self.upstreams {
-            for seen in proxied.upstream.seen().iter().filter(|seen| seen.ran) {
+            for seen in proxied
+                .upstream
+                .received_requests()
+                .iter()
+                .filter(|seen| seen.was_run)
+            {
                 let id = seen.header("ivyweir-request-id").unwrap_or("-").to_owned();
                 if let Some(left_at) = proxied.left_at
-                    && seen.at > left_at + LEFT
+                    && seen.received_at > left_at + LEFT
                 {
-                    let (line, name) = (&seen.line, proxied.upstream.id());
-                    let after_ms = seen.at.duration_since(left_at).as_millis();
+                    let (line, name) = (&seen.request_line, proxied.upstream.id());
+                    let after_ms = seen.received_at.duration_since(left_at).as_millis();
                     broken.push(format!(
                         "{id} ran at {name}, {after_ms} ms after it had left: {line}, {:?}",
                         seen.headers
                     ));
                 }
-                ran.entry(id).or_default().push(seen.at);
+                ran.entry(id).or_default().push(seen.received_at);
             }
         }
         for asked in self.shared.asked.lock().expect("no panic").iter() {
@@ -71,7 +76,7 @@
             let name = proxied.upstream.id();
             let told = told.iter().filter(|(_, leaving, _)| **leaving == *name);
             let told: Vec<(usize, Instant)> = told.map(|(number, _, at)| (*number, *at)).collect();
-            for seen in proxied.upstream.seen() {
+            for seen in proxied.upstream.received_requests() {
                 let id = seen.header("ivyweir-request-id").unwrap_or("-");
                 let (Some(sent), Some(number)) = (sent_at.get(id), number_of(id)) else {
                     continue;
@@ -79,7 +84,7 @@
                 let knew = told.iter().any(|(by, at)| {
                     *by == number
                         && *sent > *at + LEAVING
-                        && !self.boxes.is_disturbed(number, *at, seen.at)
+                        && !self.boxes.is_disturbed(number, *at, seen.received_at)
                 });
                 if knew {
                     broken.push(format!(
@@ -97,9 +102,11 @@
         for proxied in &self.upstreams {
             let name = proxied.upstream.id();
             let told = self.told_of_limit(&name);
-            let seen = proxied.upstream.seen();
+            let seen = proxied.upstream.received_requests();
             let arrivals: Vec<Arrival> = seen.iter().filter_map(|s| self.arrival(s)).collect();
-            if let Err(excess) = LimitPromise::AGREED.check_told(&arrivals, &told) {
+            if let Err(excess) =
+                RateLimitInvariant::STANDARD.check_with_notice_times(&arrivals, &told)
+            {
                 broken.push(format!("{name} got beyond its limit: {excess}"));
             }
         }
@@ -124,15 +131,18 @@
     }
 
     /// A request for the judge of limits; none where its box was disturbed shortly before.
-    fn arrival(&self, seen: &Seen) -> Option<Arrival> {
+    fn arrival(&self, seen: &ReceivedRequest) -> Option<Arrival> {
         let number = number_of(seen.header("ivyweir-request-id")?)?;
-        let from = seen.at.checked_sub(EXCUSED).unwrap_or(self.began);
-        let is_excused = self.boxes.is_disturbed(number, from, seen.at);
-        let limit: Option<f64> = seen.names_limit.as_deref().and_then(|l| l.parse().ok());
+        let from = seen.received_at.checked_sub(EXCUSED).unwrap_or(self.began);
+        let is_excused = self.boxes.is_disturbed(number, from, seen.received_at);
+        let limit: Option<f64> = seen
+            .advertised_limit
+            .as_deref()
+            .and_then(|l| l.parse().ok());
         (!is_excused).then(|| Arrival {
-            at_ms: self.ms(seen.at),
-            from: box_name(number),
-            names_per_s: limit.filter(|per_s| *per_s >= 0.0),
+            at_ms: self.ms(seen.received_at),
+            sender: box_name(number),
+            advertised_per_s: limit.filter(|per_s| *per_s >= 0.0),
         })
     }
 
@@ -144,17 +154,17 @@
     fn sends_to_full(&self) -> Vec<String> {
         let mut broken = Vec::new();
         for proxied in &self.upstreams {
-            let seen = proxied.upstream.seen();
+            let seen = proxied.upstream.received_requests();
             for refusal in &seen {
                 let Some((number, until)) = refusal_of(refusal) else {
                     continue;
                 };
-                let from = refusal.at + REFUSED;
-                let excused = proxied.is_faulty(refusal.at, until)
-                    || self.boxes.is_disturbed(number, refusal.at, until);
-                let in_span = |s: &&Seen| {
+                let from = refusal.received_at + REFUSED;
+                let excused = proxied.is_faulty(refusal.received_at, until)
+                    || self.boxes.is_disturbed(number, refusal.received_at, until);
+                let in_span = |s: &&ReceivedRequest| {
                     let id = s.header("ivyweir-request-id").unwrap_or("-");
-                    number_of(id) == Some(number) && from < s.at && s.at < until
+                    number_of(id) == Some(number) && from < s.received_at && s.received_at < until
                 };
                 let count = seen.iter().filter(in_span).count();
                 if !excused && count > MORE_SENDS {
@@ -174,10 +184,15 @@
 }
 
 /// The box to which an upstream said that it wants nothing, and until when.
-fn refusal_of(refusal: &Seen) -> Option<(usize, Instant)> {
+fn refusal_of(refusal: &ReceivedRequest) -> Option<(usize, Instant)> {
     let seconds: f64 = refusal.retry_after.as_ref()?.parse().ok()?;
     let number = number_of(refusal.header("ivyweir-request-id")?)?;
-    (seconds > 0.0).then(|| (number, refusal.at + Duration::from_secs_f64(seconds)))
+    (seconds > 0.0).then(|| {
+        (
+            number,
+            refusal.received_at + Duration::from_secs_f64(seconds),
+        )
+    })
 }
 
 /// What is wrong with one request, if anything.
@@ -213,13 +228,13 @@
     if *kind == "stream" {
         let ids = event_ids(&reply.text());
         let expected: Vec<u64> = (1..=EVENTS).collect();
-        if !expected.starts_with(&ids) || (reply.is_whole && ids != expected) {
+        if !expected.starts_with(&ids) || (reply.is_complete && ids != expected) {
             broken.push(format!(
                 "{id} got events {ids:?}, whole: {}",
-                reply.is_whole
+                reply.is_complete
             ));
         }
-    } else if reply.is_whole && reply.text() != format!("echo of {} bytes", asked.body_bytes) {
+    } else if reply.is_complete && reply.text() != format!("echo of {} bytes", asked.body_bytes) {
         broken.push(format!("{id} got {:?}", reply.text()));
     }
     broken
--- a/crates/ivyweird/tests/gateway_soak/main.rs
+++ b/crates/ivyweird/tests/gateway_soak/main.rs
@@ -17,7 +17,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ivyweir_standins::edge::{Act, KEY, ScriptedUpstream, StoreFault, eventually, get, site};
+use ivyweir_standins::edge::{
+    KEY, ScriptedUpstream, StoreFault, UpstreamAction, eventually, get, site_config,
+};
 use ivyweir_standins::{Fault, Gateway};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -78,9 +80,9 @@
         let well = if is_engine {
             well_stream()
         } else {
-            Act::Answer(200)
+            UpstreamAction::Answer(200)
         };
-        self.upstream.set(well);
+        self.upstream.set_action(well);
     }
 
     fn is_faulty(&self, from: Instant, until: Instant) -> bool {
@@ -135,9 +137,9 @@
     fn add_upstream(&mut self, pool: &str) {
         self.made += 1;
         let upstream =
-            ScriptedUpstream::start_alone(&format!("{pool}-soak-{}", self.made), pool, "v1");
+            ScriptedUpstream::start_on_own_ip(&format!("{pool}-soak-{}", self.made), pool, "v1");
         if pool == "engines" {
-            upstream.set(well_stream());
+            upstream.set_action(well_stream());
         }
         let record = upstream.record();
         let proxy = Gateway::start_alone(&record.addr.to_string()).expect("a port");
@@ -199,23 +201,23 @@
     fn fail_upstream(&mut self) {
         let at = self.random.random_range(0..self.upstreams.len());
         let is_engine = &*self.upstreams[at].upstream.record().pool == "engines";
-        let breaks = Act::Stream {
+        let breaks = UpstreamAction::Stream {
             events: EVENTS,
             gap_ms: 5,
-            break_after: Some(self.random.random_range(0..EVENTS)),
+            truncate_after: Some(self.random.random_range(0..EVENTS)),
             confidence: None,
         };
         let act = match self.random.random_range(0..7) {
-            0 => Act::NotRun,
-            1 => Act::Close,
-            2 => Act::WrongId,
+            0 => UpstreamAction::NotRun,
+            1 => UpstreamAction::Close,
+            2 => UpstreamAction::WrongId,
             3 if is_engine => breaks,
-            4 if !is_engine => Act::BreakOff,
-            5 => Act::Answer(500),
+            4 if !is_engine => UpstreamAction::TruncateBody,
+            5 => UpstreamAction::Answer(500),
             _ if is_engine => well_stream(),
-            _ => Act::Answer(200),
+            _ => UpstreamAction::Answer(200),
         };
-        self.upstreams[at].upstream.set(act);
+        self.upstreams[at].upstream.set_action(act);
         let fault = match self.random.random_range(0..6) {
             0 => Fault::Cut,
             1 => Fault::LoseAnswers,
@@ -231,7 +233,7 @@
         if self.upstreams[at].left_at.is_some() {
             return;
         }
-        let leaving = self.upstreams[at].upstream.leaving();
+        let leaving = self.upstreams[at].upstream.leaving_record();
         let pool = leaving.pool.clone();
         self.add_upstream(&pool);
         self.boxes.town.store.put_upstream(&leaving);
@@ -242,17 +244,17 @@
     fn leave_unsaid(&mut self) {
         let at = self.random.random_range(0..self.upstreams.len());
         let pool = self.upstreams[at].upstream.record().pool.clone();
-        self.upstreams[at].upstream.say_leaving();
+        self.upstreams[at].upstream.advertise_leaving();
         self.add_upstream(&pool);
     }
 
     /// An upstream leaves; its answers and its record say so, the answers first.
     fn leave_with_notice(&mut self) {
         let at = self.random.random_range(0..self.upstreams.len());
-        self.upstreams[at].upstream.say_leaving();
+        self.upstreams[at].upstream.advertise_leaving();
         thread::sleep(Duration::from_millis(self.random.random_range(0..300)));
         if self.upstreams[at].left_at.is_none() {
-            let leaving = self.upstreams[at].upstream.leaving();
+            let leaving = self.upstreams[at].upstream.leaving_record();
             self.add_upstream(&leaving.pool);
             self.boxes.town.store.put_upstream(&leaving);
             self.upstreams[at].left_at = Some(Instant::now());
@@ -265,8 +267,8 @@
         let of_three = self.random.random_range(1..=3);
         for (n, proxied) in self.upstreams.iter().enumerate() {
             if n % 3 < of_three {
-                proxied.upstream.say_retry_after(seconds);
-                proxied.upstream.set(Act::NotRun);
+                proxied.upstream.set_retry_after(seconds);
+                proxied.upstream.set_action(UpstreamAction::NotRun);
             }
         }
     }
@@ -284,7 +286,7 @@
         let of_three = self.random.random_range(1..=3);
         for (n, proxied) in self.upstreams.iter().enumerate() {
             if n % 3 < of_three {
-                proxied.upstream.name_limit(Some(per_s));
+                proxied.upstream.advertise_limit(Some(per_s));
             }
         }
     }
@@ -293,7 +295,7 @@
     fn end_limits(&mut self) {
         self.upstreams
             .iter()
-            .for_each(|proxied| proxied.upstream.name_limit(None));
+            .for_each(|proxied| proxied.upstream.advertise_limit(None));
     }
 
     /// Restores the store from its backup, with or without an outage, and repeats the lost writes after a delay.
@@ -323,7 +325,10 @@
             keys.push(format!("key-{}", self.version));
         }
         let names: Vec<&str> = keys.iter().map(String::as_str).collect();
-        self.boxes.town.store.put_site(&site(self.version, &names));
+        self.boxes
+            .town
+            .store
+            .put_site(&site_config(self.version, &names));
     }
 
     fn heal(&mut self) {
@@ -354,11 +359,11 @@
     }
 }
 
-fn well_stream() -> Act {
-    Act::Stream {
+fn well_stream() -> UpstreamAction {
+    UpstreamAction::Stream {
         events: EVENTS,
         gap_ms: 5,
-        break_after: None,
+        truncate_after: None,
         confidence: None,
     }
 }
--- a/crates/ivyweird/tests/gateway_store.rs
+++ b/crates/ivyweird/tests/gateway_store.rs
@@ -5,18 +5,19 @@
 
 use ivyweir_policy::gateway::rollout::RolloutState;
 use ivyweir_standins::edge::{
-    Act, GatewayProcess, KEY, ScriptedUpstream, StoreFault, Town, eventually, get, site,
+    GatewayProcess, KEY, ScriptedUpstream, StoreFault, TestCluster, UpstreamAction, eventually,
+    get, site_config,
 };
 use ivyweir_standins::{Fault, Gateway};
 use serde_json::json;
 
 const BINARY: &str = env!("CARGO_BIN_EXE_ivyweird");
 
-fn town(halls: &[&str]) -> Town {
-    Town::with_boxes(BINARY, halls)
+fn town(halls: &[&str]) -> TestCluster {
+    TestCluster::with_boxes(BINARY, halls)
 }
 
-fn status(town: &Town, number: usize, key: &str, id: &str) -> u16 {
+fn status(town: &TestCluster, number: usize, key: &str, id: &str) -> u16 {
     let auth = format!("Bearer {key}");
     let headers = [("ivyweir-request-id", id), ("authorization", auth.as_str())];
     let reply = get(town.addr(number), "/safe/x", &headers);
@@ -24,7 +25,7 @@
 }
 
 /// A status that is not of a box that is catching up.
-fn settled_status(town: &Town, number: usize, key: &str) -> u16 {
+fn settled_status(town: &TestCluster, number: usize, key: &str) -> u16 {
     town.status(number, key)
 }
 
@@ -32,7 +33,7 @@
 fn a_new_key_works_and_a_withdrawn_one_does_not() {
     let town = town(&["hall-a"]);
     assert_eq!(settled_status(&town, 0, "second"), 401);
-    town.store.put_site(&site(2, &["second"]));
+    town.store.put_site(&site_config(2, &["second"]));
     eventually("the new key works", || {
         settled_status(&town, 0, "second") == 200
     });
@@ -42,13 +43,13 @@
 #[test]
 fn an_older_configuration_is_never_adopted() {
     let town = town(&["hall-a"]);
-    town.store.put_site(&site(5, &["second"]));
+    town.store.put_site(&site_config(5, &["second"]));
     eventually("the new key works", || {
         settled_status(&town, 0, "second") == 200
     });
-    town.store.put_site(&site(4, &[KEY]));
+    town.store.put_site(&site_config(4, &[KEY]));
     eventually("the box has seen it", || {
-        let seen = town.boxes[0].lines_of("site_seen");
+        let seen = town.boxes[0].event_lines("site_seen");
         seen.iter().any(|line| line["version"] == 4)
     });
     assert_eq!(settled_status(&town, 0, KEY), 401);
@@ -63,9 +64,17 @@
         settled_status(&town, 0, KEY) == 503
     });
     assert!(!town.is_ready(0));
-    let sent = town.services.iter().map(|s| s.seen().len()).sum::<usize>();
+    let sent = town
+        .services
+        .iter()
+        .map(|s| s.received_requests().len())
+        .sum::<usize>();
     assert_eq!(settled_status(&town, 0, KEY), 503);
-    let sent_then = town.services.iter().map(|s| s.seen().len()).sum::<usize>();
+    let sent_then = town
+        .services
+        .iter()
+        .map(|s| s.received_requests().len())
+        .sum::<usize>();
     assert_eq!(sent, sent_then);
     town.store.set_fault(StoreFault::None);
     eventually("the key works again", || {
@@ -75,7 +84,7 @@
 
 #[test]
 fn a_box_that_may_serve_unproven_keys_does_so_until_it_hears_of_a_change() {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     town.policy = json!({"unproven_keys": "serve"});
     town.add_box("hall-a");
     town.store.set_fault(StoreFault::Silent);
@@ -83,7 +92,7 @@
     // Longer than the bound on withdrawn keys, which the proof outlives by its margin at most.
     eventually("the proof is older than the bound", || {
         assert_eq!(settled_status(&town, 0, KEY), 200);
-        let admitted = town.boxes[0].lines_of("admitted");
+        let admitted = town.boxes[0].event_lines("admitted");
         let age_ms = admitted
             .iter()
             .filter_map(|line| line["proof_age_ms"].as_u64());
@@ -92,7 +101,7 @@
     // What it never knew it does not judge.
     assert_eq!(settled_status(&town, 0, "second"), 503);
     town.store.set_fault(StoreFault::None);
-    town.store.put_site(&site(2, &["second"]));
+    town.store.put_site(&site_config(2, &["second"]));
     eventually("the key is withdrawn", || {
         settled_status(&town, 0, KEY) == 401
     });
@@ -107,9 +116,13 @@
     let addr = town.boxes[0].peer_addr;
     town.boxes[0].kill();
     let next = ScriptedUpstream::start_at(addr, "next-there", "services", "v1");
-    eventually("a box calls there", || !next.seen().is_empty());
-    for seen in next.seen() {
-        assert!(seen.line.contains(" /peer/"), "{}", seen.line);
+    eventually("a box calls there", || !next.received_requests().is_empty());
+    for seen in next.received_requests() {
+        assert!(
+            seen.request_line.contains(" /peer/"),
+            "{}",
+            seen.request_line
+        );
         assert_eq!(seen.header("ivyweir-request-id"), None);
     }
 }
@@ -117,24 +130,24 @@
 #[test]
 fn a_leaving_upstream_gets_no_more_work() {
     let town = town(&["hall-a"]);
-    town.store.put_upstream(&town.services[0].leaving());
+    town.store.put_upstream(&town.services[0].leaving_record());
     eventually("the box has seen it", || {
-        let seen = town.boxes[0].lines_of("upstream_changed");
+        let seen = town.boxes[0].event_lines("upstream_changed");
         seen.iter().any(|line| line["change"] == "Leaving")
     });
-    let before = town.services[0].seen().len();
+    let before = town.services[0].received_requests().len();
     // Its record going, or coming back as ready, changes nothing.
     town.store.put_upstream(&town.services[0].record());
     for n in 0..20 {
         assert_eq!(status(&town, 0, KEY, &format!("r{n}")), 200);
     }
-    assert_eq!(town.services[0].seen().len(), before);
+    assert_eq!(town.services[0].received_requests().len(), before);
 }
 
 #[test]
 fn a_box_lists_again_when_the_store_has_lost_its_history() {
     let town = town(&["hall-a"]);
-    town.store.put_upstream(&town.services[0].leaving());
+    town.store.put_upstream(&town.services[0].leaving_record());
     town.store.forget_history();
     let third = ScriptedUpstream::start("services-third", "services", "v1");
     town.store.put_upstream(&third.record());
@@ -142,7 +155,7 @@
     eventually("the new upstream is used", || {
         n += 1;
         status(&town, 0, KEY, &format!("r{n}"));
-        !third.seen().is_empty()
+        !third.received_requests().is_empty()
     });
 }
 
@@ -159,7 +172,7 @@
         settled_status(&town, 0, KEY) == 200
     });
     // Calls that the silent store took are never answered; each topic must have given its own up.
-    let lost = town.boxes[0].lines_of("store_lost");
+    let lost = town.boxes[0].event_lines("store_lost");
     for topic in ["site", "upstreams", "rollouts"] {
         assert!(
             lost.iter().any(|line| line["topic"] == topic),
@@ -174,7 +187,7 @@
     let town = town(&["hall-a"; 4]);
     town.store.set_fault(StoreFault::Refuse);
     eventually("a box that follows others has tried the store", || {
-        let has_probed = |b: &GatewayProcess| !b.lines_of("store_probed").is_empty();
+        let has_probed = |b: &GatewayProcess| !b.event_lines("store_probed").is_empty();
         town.boxes.iter().any(has_probed)
     });
     for number in 0..4 {
@@ -188,7 +201,7 @@
             town.is_ready(number) && settled_status(&town, number, KEY) == 200
         });
         // Nothing changes meanwhile, so nobody is told of upstreams without asking.
-        let unheard = town.boxes[number].lines_of("upstreams_unheard");
+        let unheard = town.boxes[number].event_lines("upstreams_unheard");
         assert!(unheard.is_empty(), "{unheard:?}");
     }
 }
@@ -197,12 +210,12 @@
 fn all_share_one_watch(halls: &[&str]) {
     let town = town(halls);
     eventually("all but one follow another box", || {
-        let before = town.store.calls();
+        let before = town.store.call_count();
         std::thread::sleep(std::time::Duration::from_millis(1_500));
         // One box watches three topics; boxes or relays on their own would need as many times more.
-        town.store.calls() - before <= 8
+        town.store.call_count() - before <= 8
     });
-    town.store.put_site(&site(2, &["second"]));
+    town.store.put_site(&site_config(2, &["second"]));
     for number in 0..halls.len() {
         eventually("the new key works", || {
             settled_status(&town, number, "second") == 200
@@ -227,7 +240,7 @@
         town.boxes[killed].kill();
         let version = 2 + killed as u64;
         let key = format!("key-{version}");
-        town.store.put_site(&site(version, &[&key]));
+        town.store.put_site(&site_config(version, &[&key]));
         eventually("the last box has the key", || {
             settled_status(&town, 2, &key) == 200
         });
@@ -247,18 +260,18 @@
 /// Each of the boxes loses the store in turn, also the one that the others hear it from; all hear of
 /// changes all the same.
 fn each_loses_the_store_in_turn(halls: &[&str]) {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     let store_addr = town.store.addr().to_string();
     let path = |_: &&str| Gateway::start(&store_addr).expect("a port");
     let paths: Vec<Gateway> = halls.iter().map(path).collect();
     for (hall, path) in halls.iter().zip(&paths) {
-        town.add_box_behind(hall, &path.addr());
+        town.add_box_with_store_addr(hall, &path.addr());
     }
     for (round, path) in paths.iter().enumerate() {
         path.set(Fault::HalfOpen);
         let version = 2 + round as u64;
         let key = format!("key-{version}");
-        town.store.put_site(&site(version, &[&key]));
+        town.store.put_site(&site_config(version, &[&key]));
         for number in 0..halls.len() {
             eventually("every box has the key", || {
                 settled_status(&town, number, &key) == 200
@@ -280,7 +293,7 @@
 }
 
 /// Starts a box that joins the town's, without waiting until it is ready.
-fn start_late(town: &mut Town) -> usize {
+fn start_late(town: &mut TestCluster) -> usize {
     let store_addr = town.store.addr().to_string();
     town.start_box("hall-a", &store_addr)
 }
@@ -291,7 +304,7 @@
     town.store.set_fault(StoreFault::Silent);
     let late = start_late(&mut town);
     eventually("it knows the configuration", || {
-        !town.boxes[late].lines_of("site_seen").is_empty()
+        !town.boxes[late].event_lines("site_seen").is_empty()
     });
 }
 
@@ -304,7 +317,7 @@
     });
     let late = start_late(&mut town);
     eventually("it knows the configuration", || {
-        !town.boxes[late].lines_of("site_seen").is_empty()
+        !town.boxes[late].event_lines("site_seen").is_empty()
     });
     for _ in 0..20 {
         assert_eq!(settled_status(&town, late, KEY), 503);
@@ -317,28 +330,31 @@
 
 #[test]
 fn a_box_that_starts_beside_one_that_lost_the_store_gives_no_work_to_upstreams_that_left() {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     let store_addr = town.store.addr().to_string();
     let path = Gateway::start(&store_addr).expect("a port");
-    town.add_box_behind("hall-a", &path.addr());
+    town.add_box_with_store_addr("hall-a", &path.addr());
     path.set(Fault::HalfOpen);
     eventually("the box has lost its proof", || !town.is_ready(0));
     // The first box does not hear of it, and tells the second of the upstream as it was.
-    town.store.put_upstream(&town.services[0].leaving());
+    town.store.put_upstream(&town.services[0].leaving_record());
     for _ in 0..4 {
         let late = start_late(&mut town);
         eventually("the key works", || settled_status(&town, late, KEY) == 200);
         for _ in 0..20 {
             settled_status(&town, late, KEY);
         }
-        assert!(town.services[0].seen().is_empty(), "work for one that left");
+        assert!(
+            town.services[0].received_requests().is_empty(),
+            "work for one that left"
+        );
         town.boxes[late].kill();
     }
 }
 
 #[test]
 fn a_box_that_knows_nothing_yet_says_when_to_come_back() {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     town.store.set_fault(StoreFault::Silent);
     let late = start_late(&mut town);
     let reply = get(town.addr(late), "/safe/x", &[]).expect("an answer");
@@ -350,13 +366,13 @@
 }
 
 /// A town whose pool of services is being moved to `v2`, served by two more upstreams.
-fn rolling(act: Act, duration_ms: u64) -> (Town, Vec<ScriptedUpstream>) {
+fn rolling(act: UpstreamAction, duration_ms: u64) -> (TestCluster, Vec<ScriptedUpstream>) {
     let town = town(&["hall-a"]);
     let new: Vec<ScriptedUpstream> = (0..2)
         .map(|n| ScriptedUpstream::start(&format!("services-new-{n}"), "services", "v2"))
         .collect();
     for upstream in &new {
-        upstream.set(act.clone());
+        upstream.set_action(act.clone());
         town.store.put_upstream(&upstream.record());
     }
     town.store.order_rollout("services", "v2", duration_ms);
@@ -365,43 +381,59 @@
 
 #[test]
 fn a_good_version_takes_all_work_in_the_end() {
-    let (town, new) = rolling(Act::Answer(200), 1_500);
+    let (town, new) = rolling(UpstreamAction::Answer(200), 1_500);
     let mut n = 0;
     eventually("the roll-out is complete", || {
         n += 1;
         assert_eq!(status(&town, 0, KEY, &format!("r{n}")), 200);
         town.store.rollout_state("services") == Some(RolloutState::Completed)
     });
-    let old_before = town.services.iter().map(|s| s.seen().len()).sum::<usize>();
+    let old_before = town
+        .services
+        .iter()
+        .map(|s| s.received_requests().len())
+        .sum::<usize>();
     for n in 0..20 {
         assert_eq!(status(&town, 0, KEY, &format!("after-{n}")), 200);
     }
-    let old_then = town.services.iter().map(|s| s.seen().len()).sum::<usize>();
+    let old_then = town
+        .services
+        .iter()
+        .map(|s| s.received_requests().len())
+        .sum::<usize>();
     assert_eq!(old_before, old_then, "the old version gets nothing more");
-    assert!(new.iter().all(|s| !s.seen().is_empty()));
+    assert!(new.iter().all(|s| !s.received_requests().is_empty()));
 }
 
 #[test]
 fn a_bad_version_is_rolled_back() {
-    let (town, new) = rolling(Act::Answer(500), 6_000);
+    let (town, new) = rolling(UpstreamAction::Answer(500), 6_000);
     let mut n = 0;
     eventually("it is rolled back", || {
         n += 1;
         status(&town, 0, KEY, &format!("r{n}"));
         town.store.rollout_state("services") == Some(RolloutState::RolledBack)
     });
-    let bad = new.iter().map(|s| s.seen().len()).sum::<usize>();
+    let bad = new
+        .iter()
+        .map(|s| s.received_requests().len())
+        .sum::<usize>();
     for n in 0..50 {
         assert_eq!(status(&town, 0, KEY, &format!("after-{n}")), 200);
     }
-    assert_eq!(new.iter().map(|s| s.seen().len()).sum::<usize>(), bad);
+    assert_eq!(
+        new.iter()
+            .map(|s| s.received_requests().len())
+            .sum::<usize>(),
+        bad
+    );
 }
 
 #[test]
 fn a_rollout_that_was_withdrawn_unheard_is_forgotten() {
-    let (town, _new) = rolling(Act::Answer(200), 600_000);
+    let (town, _new) = rolling(UpstreamAction::Answer(200), 600_000);
     eventually("the box has seen the order", || {
-        !town.boxes[0].lines_of("rollout_seen").is_empty()
+        !town.boxes[0].event_lines("rollout_seen").is_empty()
     });
     // The box lists again and finds no roll-out, without having heard that it went.
     town.store.set_fault(StoreFault::Refuse);
@@ -409,13 +441,13 @@
     town.store.forget_history();
     town.store.set_fault(StoreFault::None);
     eventually("the box has forgotten it", || {
-        !town.boxes[0].lines_of("rollout_withdrawn").is_empty()
+        !town.boxes[0].event_lines("rollout_withdrawn").is_empty()
     });
 }
 
 #[test]
 fn boxes_that_start_together_leave_nobody_for_want_of_a_proof() {
-    let mut town = Town::start(Path::new(BINARY));
+    let mut town = TestCluster::start(Path::new(BINARY));
     let store_addr = town.store.addr().to_string();
     let halls = [
         "hall-a", "hall-a", "hall-b", "hall-b", "hall-c", "hall-c", "hall-d",
@@ -426,7 +458,7 @@
         .collect();
     for number in numbers {
         eventually("the box is ready", || town.is_ready(number));
-        let left = town.boxes[number].lines_of("peer_unhearing");
+        let left = town.boxes[number].event_lines("peer_unhearing");
         let unproven = left.iter().filter(|line| line["about"] == "proof");
         assert_eq!(unproven.count(), 0, "{left:?}");
     }
--- a/crates/ivyweird/tests/quarantine_soak.rs
+++ b/crates/ivyweird/tests/quarantine_soak.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use ivyweir_policy::gateway::fleet::UpstreamRecord;
 use ivyweir_standins::Fault;
-use ivyweir_standins::edge::{Act, KEY, Reply, ScriptedUpstream, StoreFault, call};
+use ivyweir_standins::edge::{KEY, Reply, ScriptedUpstream, StoreFault, UpstreamAction, call};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -63,11 +63,11 @@
     troubles: Vec<Trouble>,
 }
 
-fn well() -> Act {
-    Act::Stream {
+fn well() -> UpstreamAction {
+    UpstreamAction::Stream {
         events: 8,
         gap_ms: 10,
-        break_after: None,
+        truncate_after: None,
         confidence: None,
     }
 }
@@ -104,10 +104,10 @@
             Some(earlier) => earlier.name().to_string(),
             None => format!("engine-{}", self.made),
         };
-        let engine = ScriptedUpstream::start_again(&name, self.made, "engines", "v1");
-        engine.set(well());
+        let engine = ScriptedUpstream::start_incarnation(&name, self.made, "engines", "v1");
+        engine.set_action(well());
         let after_events = self.random.random_range(0..3);
-        engine.set_for_all(&HARMFUL, Act::End { after_events });
+        engine.set_action_for_bodies(&HARMFUL, UpstreamAction::Exit { after_events });
         self.boxes.town.store.put_upstream(&engine.record());
         self.engines.push(engine);
         self.engines.len() - 1
@@ -117,7 +117,7 @@
     fn replace_ended(&mut self) {
         for place in 0..self.living.len() {
             let ended = &self.engines[self.living[place]];
-            if !ended.is_ended() {
+            if !ended.has_exited() {
                 continue;
             }
             let record = ended.record();
@@ -190,7 +190,7 @@
     fn end_several(&mut self) -> Option<Option<usize>> {
         let first = self.random.random_range(0..ENGINES);
         for n in 0..ENGINES / 4 {
-            self.engines[self.living[(first + n) % ENGINES]].end();
+            self.engines[self.living[(first + n) % ENGINES]].exit();
         }
         None
     }
@@ -208,13 +208,13 @@
         let mut ends: Vec<Instant> = Vec::new();
         let mut sends: Vec<(Instant, usize)> = Vec::new();
         for engine in &self.engines {
-            let seen = engine.seen();
+            let seen = engine.received_requests();
             let of_it = seen.iter().filter(|seen| seen.body == harmful);
             let of_it: Vec<(Instant, usize)> = of_it
                 .map(|seen| {
                     let id = seen.header("ivyweir-request-id").unwrap_or_default();
                     let number = id.split('-').nth(1).and_then(|n| n.parse().ok());
-                    (seen.at, number.unwrap_or(0))
+                    (seen.received_at, number.unwrap_or(0))
                 })
                 .collect();
             ends.extend(of_it.iter().map(|(at, _)| *at).min());
