--- a/crates/ivyweir-standins/src/edge/duty_invariant.rs
+++ b/crates/ivyweir-standins/src/edge/duty_invariant.rs
@@ -1,40 +1,42 @@
-//! What a platform is promised of duties that one box does for all, judged by the calls that reach it.
+//! Checks the guarantees for duties that run on one box at a time, using only the calls that reach the platform.
 
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 
 use ivyweir_policy::Name;
 
-/// A duty's call as it reached the platform.
+/// A call made by a duty, as received by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DutyCall {
-    /// When, in milliseconds of any clock.
+    /// Arrival time in milliseconds; any clock origin.
     pub at_ms: u64,
-    /// The box that sent it.
+    /// The box that sent the call.
     pub sender: Name,
-    /// The fence that it carries.
+    /// The fencing token of the call.
     pub fence: u64,
-    /// What it is about: duties about different subjects do not bind each other.
+    /// The subject of the call. Calls with different subjects are checked independently, except that the reports of a usage
+    /// window are compared across all calls.
     pub subject: String,
-    /// Of a report, its window and what it says of it.
+    /// For usage reports, the window and the reported content.
     pub report: Option<(u64, String)>,
-    /// Whether its order does not count: its sender had just been suspended, or the platform was at fault.
+    /// Whether the call is exempt from the ordering checks, because its sender had just been suspended or the platform was
+    /// faulty.
     pub is_exempt_from_order: bool,
 }
 
-/// That one box at a time does a duty, and that a report is never corrected.
+/// Requires that one box at a time performs a duty and that reports are never corrected.
 #[derive(Debug, Clone, Copy)]
 pub struct DutyInvariant {
-    /// Time in which a box may not act again after another one acted in between, in milliseconds.
+    /// Period in milliseconds within which a box must not act again after another box acted in between.
     pub lease_ms: u64,
 }
 
-/// How the promise was violation, by which call.
+/// A call that violates the invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DutyViolation {
-    /// How.
+    /// Description of the violation.
     pub rule: &'static str,
-    /// The call.
+    /// The call that violates it.
     pub call: DutyCall,
 }
 
@@ -44,21 +46,21 @@
     }
 }
 
-/// What was seen of a subject.
+/// State of the checks for one subject.
 #[derive(Debug, Default)]
 struct Subject {
     holder_of_fence: HashMap<u64, Name>,
     highest_fence: u64,
-    /// Who acted lately, and when.
+    /// Times and senders of the calls within the lease period.
     recent_calls: VecDeque<(u64, Name)>,
 }
 
 impl DutyInvariant {
-    /// Judges calls in the order in which they arrived.
+    /// Checks calls in arrival order.
     ///
     /// # Errors
     ///
-    /// The first call that breaks the promise.
+    /// Returns the first call that violates the invariant.
     pub fn check(&self, calls: &[DutyCall]) -> Result<(), DutyViolation> {
         let mut subjects: HashMap<&str, Subject> = HashMap::new();
         let mut reports: HashMap<u64, &str> = HashMap::new();
@@ -70,7 +72,7 @@
             if let Some((window, content)) = &call.report
                 && *reports.entry(*window).or_insert(content) != content.as_str()
             {
-                return Err(violation("two reports of a window differ"));
+                return Err(violation("reports for the same window differ"));
             }
             let subject = subjects.entry(&call.subject).or_default();
             self.check_call(subject, call).map_err(violation)?;
@@ -81,13 +83,13 @@
     fn check_call(&self, subject: &mut Subject, call: &DutyCall) -> Result<(), &'static str> {
         let fence_holder = subject.holder_of_fence.entry(call.fence);
         if *fence_holder.or_insert_with(|| call.sender.clone()) != call.sender {
-            return Err("two boxes have the same fence");
+            return Err("two boxes used the same fencing token");
         }
         if call.is_exempt_from_order {
             return Ok(());
         }
         if call.fence < subject.highest_fence {
-            return Err("a lower fence follows a higher one");
+            return Err("fencing token is lower than that of an earlier call");
         }
         subject.highest_fence = call.fence;
         let since_ms = call.at_ms.saturating_sub(self.lease_ms);
@@ -104,7 +106,7 @@
             .zip(last_other)
             .is_some_and(|(own, other)| own < other)
         {
-            return Err("a box acts again after another one within the lease");
+            return Err("box acted again within the lease period after another box acted");
         }
         subject
             .recent_calls
--- a/crates/ivyweir-standins/src/edge/duty_platform.rs
+++ b/crates/ivyweir-standins/src/edge/duty_platform.rs
@@ -1,4 +1,4 @@
-//! A platform that takes the calls of duties, and remembers them.
+//! Test double of the platform API: accepts calls made by duties and records them.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use super::duty_invariant::DutyCall;
 use super::test_cluster::serve_on_thread;
 
-/// A running platform.
+/// A running platform server.
 #[derive(Clone)]
 pub struct DutyPlatform {
     addr: SocketAddr,
@@ -31,7 +31,7 @@
 }
 
 impl DutyPlatform {
-    /// Starts one on a free port.
+    /// Starts a server on a free loopback port.
     pub fn start() -> Self {
         let state = Arc::new(Mutex::new(State {
             started: Instant::now(),
@@ -48,12 +48,13 @@
         Self { addr, state }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sets whether it refuses all further calls, which it has not taken then.
+    /// Sets whether the server answers further calls with 503. Refused calls are recorded in [`calls`](Self::calls), but their
+    /// reports and orders are not accepted.
     pub fn set_refusing(&self, refusing: bool) {
         self.state().status = if refusing {
             StatusCode::SERVICE_UNAVAILABLE
@@ -62,17 +63,17 @@
         };
     }
 
-    /// All calls, in the order in which they arrived.
+    /// Returns all well-formed calls in arrival order, including refused ones.
     pub fn calls(&self) -> Vec<DutyCall> {
         self.state().calls.clone()
     }
 
-    /// Reports that were taken, each as often as it came.
+    /// Returns the accepted usage reports in arrival order; repeated reports are kept.
     pub fn reports(&self) -> Vec<UsageReport> {
         self.state().reports.clone()
     }
 
-    /// Orders that were taken.
+    /// Returns the accepted upstream orders in arrival order.
     pub fn orders(&self) -> Vec<UpstreamOrder> {
         self.state().orders.clone()
     }
@@ -138,5 +139,5 @@
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
-    state.lock().expect("no holder panics")
+    state.lock().expect("mutex is not poisoned")
 }
--- a/crates/ivyweir-standins/src/edge/gateway_process.rs
+++ b/crates/ivyweir-standins/src/edge/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A box of the gateway as a process of its own.
+//! Runs a gateway box as a child process.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -11,45 +11,45 @@
 
 use crate::child;
 
-/// Time for a box to say where it listens.
+/// Maximum time until a box logs its listening addresses.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running box.
 pub struct GatewayProcess {
     child: Child,
     log_file: PathBuf,
-    /// Its name.
+    /// Box name.
     pub name: String,
-    /// Where callers connect.
+    /// Listener for callers.
     pub caller_addr: SocketAddr,
-    /// Where the balancer asks.
+    /// Listener for readiness probes of the load balancer.
     pub ready_addr: SocketAddr,
-    /// Where metrics are served.
+    /// Listener for metrics.
     pub metrics_addr: SocketAddr,
-    /// Where other boxes connect.
+    /// Listener for other boxes.
     pub peer_addr: SocketAddr,
 }
 
-/// What differs between boxes that tests start.
+/// Settings that differ between the boxes started by tests.
 #[derive(Debug, Clone, Copy)]
 pub struct BoxSpec<'a> {
-    /// Its name.
+    /// Box name.
     pub name: &'a str,
-    /// Its hall.
+    /// Hall of the box.
     pub hall: &'a str,
-    /// Where it reaches the store.
+    /// Address at which the box reaches the store.
     pub store_addr: &'a str,
-    /// Where it listens for other boxes; port 0 for any.
+    /// Listening address for other boxes; port 0 selects a free port.
     pub peer_addr: SocketAddr,
-    /// Where it joins them.
+    /// Addresses of boxes to join.
     pub seed_addrs: &'a [SocketAddr],
-    /// The `policy` section of its settings.
+    /// The `policy` section of the settings.
     pub policy: &'a Value,
-    /// The `duties` section of its settings; null for none.
+    /// The `duties` section of the settings; null for none.
     pub duties: &'a Value,
 }
 
-/// Settings of a box with its other listeners on any free ports, and the bounds that tests go by.
+/// Builds the settings of a box. The remaining listeners use free ports, and the bounds are those that the tests rely on.
 pub fn gateway_settings(spec: &BoxSpec) -> Value {
     json!({
         "box_name": spec.name, "hall": spec.hall,
@@ -67,31 +67,35 @@
 }
 
 impl GatewayProcess {
-    /// Starts a box.
+    /// Writes the settings of a box to `folder`, starts the box, and waits until it has logged its listening addresses.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the box does not start within 30 s.
     pub fn start(binary: &Path, folder: &Path, spec: &BoxSpec) -> Self {
         let BoxSpec {
             name, store_addr, ..
         } = spec;
         let settings = gateway_settings(spec);
         let file = folder.join(format!("{name}.json"));
-        fs::write(&file, settings.to_string()).expect("the folder can be written");
+        fs::write(&file, settings.to_string()).expect("test folder is writable");
         let log_file = folder.join(format!("{name}.log"));
-        let log = fs::File::create(&log_file).expect("the folder can be written");
+        let log = fs::File::create(&log_file).expect("test folder is writable");
         let child = Command::new(binary)
             .arg("--gateway")
             .arg(&file)
             .stdin(Stdio::null())
-            .stdout(log.try_clone().expect("the log can be shared"))
+            .stdout(log.try_clone().expect("log file handle can be cloned"))
             .stderr(log)
             .spawn()
-            .expect("the daemon can be started");
+            .expect("daemon binary can be started");
         let mut process = Self {
             child,
             log_file,
             name: (*name).to_owned(),
-            caller_addr: store_addr.parse().expect("an address"),
-            ready_addr: store_addr.parse().expect("an address"),
-            metrics_addr: store_addr.parse().expect("an address"),
+            caller_addr: store_addr.parse().expect("valid socket address"),
+            ready_addr: store_addr.parse().expect("valid socket address"),
+            metrics_addr: store_addr.parse().expect("valid socket address"),
             peer_addr: spec.peer_addr,
         };
         process.read_addresses();
@@ -103,8 +107,8 @@
         while Instant::now() < deadline {
             if let Some(line) = self.event_lines("started").first() {
                 let read = |field: &str| {
-                    let addr = line[field].as_str().expect("an address");
-                    addr.parse().expect("an address")
+                    let addr = line[field].as_str().expect("valid socket address");
+                    addr.parse().expect("valid socket address")
                 };
                 self.caller_addr = read("caller_addr");
                 self.ready_addr = read("ready_addr");
@@ -114,20 +118,24 @@
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("{} did not start: {}", self.name, self.log());
+        panic!(
+            "box {} did not start within 30 s; log: {}",
+            self.name,
+            self.log()
+        );
     }
 
-    /// All it has logged.
+    /// Returns the complete log output.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log_file).unwrap_or_default()
     }
 
-    /// The log lines of an event.
+    /// Returns the log lines of this event.
     pub fn event_lines(&self, event: &str) -> Vec<Value> {
         self.matching_lines("event", event)
     }
 
-    /// The log lines of a request.
+    /// Returns the log lines of this request.
     pub fn request_lines(&self, request_id: &str) -> Vec<Value> {
         self.matching_lines("request_id", request_id)
     }
@@ -139,7 +147,7 @@
         lines.filter(|line: &Value| line[field] == value).collect()
     }
 
-    /// Sends a signal by its name, such as `TERM`, `STOP` or `CONT`.
+    /// Sends a signal by name, such as `TERM`, `STOP` or `CONT`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .arg(format!("-{name}"))
@@ -147,16 +155,16 @@
             .status();
         assert!(
             sent.is_ok_and(|s| s.success()),
-            "signal {name} was not sent"
+            "failed to send signal {name}"
         );
     }
 
-    /// Its exit code, once it has ended; none if that takes over `limit`.
+    /// Waits for the process to exit and returns its exit code, or `None` if it does not exit within `timeout`.
     pub fn wait_exit(&mut self, timeout: Duration) -> Option<i32> {
         child::wait_exit(&mut self.child, timeout)
     }
 
-    /// Kills it at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         child::kill(&mut self.child);
     }
--- a/crates/ivyweir-standins/src/edge/peer_filter.rs
+++ b/crates/ivyweir-standins/src/edge/peer_filter.rs
@@ -1,4 +1,4 @@
-//! A box as others reach it, behind a filter that refuses what it is asked about some topics.
+//! HTTP proxy in front of a box that refuses peer queries about selected topics.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,12 +15,13 @@
 
 use super::test_cluster::serve_on_thread;
 
-/// Largest message between boxes.
+/// Maximum size of a message between boxes.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// Where nobody listens.
+/// Address without a listener.
 const UNUSED_ADDR: &str = "127.0.0.1:1";
 
-/// A filter before a box. Boxes that join there take its address for the box's own, so that all their calls pass it.
+/// A proxy in front of a box. It replaces the address of the box in join responses by its own, so that boxes that join
+/// through it send all their calls for that box through it.
 pub struct PeerFilter {
     addr: SocketAddr,
     refused_query: Arc<Mutex<Option<String>>>,
@@ -28,7 +29,7 @@
 }
 
 impl PeerFilter {
-    /// Starts a filter before the box that others reach at `target`.
+    /// Starts a proxy for the box whose peer listener is at `target`.
     pub fn start(target: SocketAddr) -> Self {
         let refused_query: Arc<Mutex<Option<String>>> = Arc::default();
         let shared = refused_query.clone();
@@ -40,19 +41,19 @@
             let query = request.uri().query().unwrap_or_default().to_owned();
             recorded_queries
                 .lock()
-                .expect("no holder panics")
+                .expect("mutex is not poisoned")
                 .push(query.clone());
             let refused = shared.clone();
-            let filter_addr = *shared_addr.lock().expect("no holder panics");
+            let filter_addr = *shared_addr.lock().expect("mutex is not poisoned");
             async move {
                 let answer = answer(request, target, filter_addr).await?;
-                // Also what was asked before: such a box answers nobody who waits.
-                let refused = refused.lock().expect("no holder panics").clone();
+                // The topic is checked after the response arrives, so that long polls that were already waiting are refused too.
+                let refused = refused.lock().expect("mutex is not poisoned").clone();
                 let is_refused = refused.is_some_and(|topic: String| query.contains(&topic));
                 Ok::<_, io::Error>(if is_refused { unavailable() } else { answer })
             }
         });
-        *own_addr.lock().expect("no holder panics") = Some(addr);
+        *own_addr.lock().expect("mutex is not poisoned") = Some(addr);
         Self {
             addr,
             refused_query,
@@ -60,14 +61,14 @@
         }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// How often this topic was asked about.
+    /// Returns the number of queries received about this topic.
     pub fn query_count(&self, topic: &str) -> usize {
-        let queries = self.queries.lock().expect("no holder panics");
+        let queries = self.queries.lock().expect("mutex is not poisoned");
         let topic_query = topic_query(topic);
         queries
             .iter()
@@ -75,13 +76,14 @@
             .count()
     }
 
-    /// Refuses queries about this topic from now on, as a box does that hears of it from nobody.
+    /// Refuses queries about this topic from now on, as a box does that has no source for the topic. Replaces the topic
+    /// refused before.
     pub fn refuse_topic(&self, topic: &str) {
-        *self.refused_query.lock().expect("no holder panics") = Some(topic_query(topic));
+        *self.refused_query.lock().expect("mutex is not poisoned") = Some(topic_query(topic));
     }
 }
 
-/// How a question about a topic is told.
+/// Formats the part of a query string that selects a topic.
 fn topic_query(topic: &str) -> String {
     format!("topic={topic}&")
 }
@@ -122,15 +124,15 @@
     answer
 }
 
-/// A message in which the box that joins has an address where nobody listens: the box behind the filter would join there
-/// in turn, with an address that does not pass the filter.
+/// Replaces the address of the joining box by one without a listener. Otherwise the box behind the proxy would join it in
+/// turn, announcing an address that bypasses the proxy.
 fn with_unused_sender_addr(body: &[u8]) -> io::Result<Bytes> {
     let mut message: Value = message::decode(body, MAX_MESSAGE_BYTES)?;
     message["from"]["peer_addr"] = UNUSED_ADDR.into();
     Ok(message::encode(&message))
 }
 
-/// A list of boxes in which the one behind the filter has the filter's address.
+/// Replaces the address of the target box by the address of the proxy in a join response.
 fn with_filter_addr(body: &[u8], target: SocketAddr, filter_addr: SocketAddr) -> io::Result<Bytes> {
     let mut answer: Value = message::decode(body, MAX_MESSAGE_BYTES)?;
     for record in answer["news"]["boxes"].as_array_mut().into_iter().flatten() {
--- a/crates/ivyweir-standins/src/edge/rate_limit_invariant.rs
+++ b/crates/ivyweir-standins/src/edge/rate_limit_invariant.rs
@@ -1,44 +1,44 @@
-//! What upstreams were promised, judged by what reached them and by nothing that a box says of itself.
+//! Checks that upstream rate limits are respected, using only requests received by upstreams and no data reported by boxes.
 
 use std::collections::HashMap;
 use std::fmt;
 
 use ivyweir_policy::Name;
 
-/// A request as it reached an upstream.
+/// A request received by an upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When, in milliseconds of any clock.
+    /// Arrival time in milliseconds; any clock origin.
     pub at_ms: u64,
-    /// The box that sent it.
+    /// The box that sent the request.
     pub sender: Name,
-    /// The limit that its answer names, in requests a second.
+    /// The limit advertised in the response, in requests per second.
     pub advertised_per_s: Option<f64>,
 }
 
-/// That an upstream gets no more than the limit it names, from the boxes that it told.
+/// Requires that the boxes notified of an upstream's advertised limit together stay within it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimitInvariant {
-    /// Time since an upstream first named a limit from which windows count, in milliseconds.
+    /// Time in milliseconds after the first advertisement of a limit during which windows are not checked.
     pub settling_ms: u64,
-    /// Time since a box was told from which its requests count, in milliseconds.
+    /// Time in milliseconds after a box is notified during which its requests are not counted.
     pub notice_grace_ms: u64,
-    /// Length of a window in milliseconds.
+    /// Window length in milliseconds.
     pub window_ms: u64,
-    /// How many times the limit may reach it within a window.
+    /// Permitted multiple of the advertised limit within a window.
     pub factor: f64,
-    /// Requests that may reach it besides.
+    /// Number of additional requests permitted within a window.
     pub slack: f64,
 }
 
-/// Requests of a window beyond what a limit allows.
+/// A window with more requests than the limit permits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RateLimitViolation {
-    /// When the window ended, in milliseconds.
+    /// End of the window in milliseconds.
     pub at_ms: u64,
-    /// Requests in it from boxes that had been told.
+    /// Number of requests in the window from notified boxes.
     pub requests: usize,
-    /// How many may have been.
+    /// Number of requests permitted.
     pub allowed: f64,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl RateLimitInvariant {
-    /// What upstreams are promised where boxes are in touch again three seconds after a fault.
+    /// The guarantee for fleets in which boxes communicate again three seconds after a fault.
     pub const STANDARD: Self = Self {
         settling_ms: 3_000,
         notice_grace_ms: 500,
@@ -63,12 +63,12 @@
         slack: 5.0,
     };
 
-    /// Judges what reached one incarnation of an upstream, in order; the first window that breaks the promise. A box was
-    /// told with the first of its requests whose answer names a limit.
+    /// Checks the requests received by one incarnation of an upstream, in arrival order. A box counts as notified from its
+    /// first request whose response advertises a limit.
     ///
     /// # Errors
     ///
-    /// When a window holds more than its limit allows.
+    /// Returns the first window with more requests than its limit permits.
     pub fn check(&self, arrivals: &[Arrival]) -> Result<(), RateLimitViolation> {
         let mut notified_at_ms = HashMap::new();
         for arrival in arrivals.iter().filter(|a| a.advertised_per_s.is_some()) {
@@ -79,11 +79,11 @@
         self.check_with_notice_times(arrivals, &notified_at_ms)
     }
 
-    /// The same, where it is known when each box was told.
+    /// Like [`check`](Self::check), with known notification times for each box.
     ///
     /// # Errors
     ///
-    /// When a window holds more than its limit allows.
+    /// Returns the first window with more requests than its limit permits.
     pub fn check_with_notice_times(
         &self,
         arrivals: &[Arrival],
@@ -119,8 +119,8 @@
         Ok(())
     }
 
-    /// Requests that count: their upstream names a limit, and had told it to the box that sent them. Each with when it
-    /// came and that limit.
+    /// Returns the arrival time and advertised limit of each counted request: one whose response advertises a limit and whose
+    /// sender was notified at least `notice_grace_ms` earlier.
     fn counted(
         &self,
         arrivals: &[Arrival],
--- a/crates/ivyweir-standins/src/edge/record_store.rs
+++ b/crates/ivyweir-standins/src/edge/record_store.rs
@@ -1,4 +1,4 @@
-//! A store of records with watches, and the ways in which it fails.
+//! In-memory record store with long-poll watches and injectable faults.
 
 mod state;
 
@@ -26,15 +26,15 @@
 use super::test_cluster::serve_on_thread;
 use state::{State, Write};
 
-/// How the store fails.
+/// Fault injected into the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreFault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// It answers nothing.
+    /// Never responds to calls.
     Silent,
-    /// It refuses every call.
+    /// Answers every call with 503.
     Refuse,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl RecordStore {
-    /// Starts an empty store on a free port.
+    /// Starts an empty store on a free loopback port.
     pub fn start() -> Self {
         let shared = Arc::new(Shared {
             state: Mutex::default(),
@@ -65,18 +65,18 @@
         Self { addr, shared }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sets how it fails.
+    /// Sets the injected fault.
     pub fn set_fault(&self, fault: StoreFault) {
         self.state().fault = fault;
         self.shared.change_signal.send_modify(|count| *count += 1);
     }
 
-    /// Forgets all history: watches must list again.
+    /// Discards the change history, so that watches must list all records again.
     pub fn forget_history(&self) {
         let mut state = self.state();
         state.contents.revision += 1;
@@ -112,7 +112,7 @@
         lost.into_iter().rev().for_each(|write| self.write(write));
     }
 
-    /// Writes a configuration.
+    /// Writes the site configuration.
     pub fn put_site(&self, site: &SiteConfig) {
         self.put(
             Topic::Site,
@@ -121,7 +121,7 @@
         );
     }
 
-    /// Writes an upstream's record.
+    /// Writes an upstream record.
     pub fn put_upstream(&self, record: &UpstreamRecord) {
         self.put(
             Topic::Upstreams,
@@ -130,17 +130,17 @@
         );
     }
 
-    /// Removes an upstream's record.
+    /// Removes an upstream record.
     pub fn remove_upstream(&self, name: &Name) {
         self.remove(Topic::Upstreams, name);
     }
 
-    /// Writes over a record as another writer may: with something that cannot be read.
+    /// Overwrites a record with content that the gateway cannot decode, as another writer may do.
     pub fn put_unreadable(&self, topic: Topic, name: &str, record: Value) {
         self.write(Write::PutUnreadable(topic, name.into(), record));
     }
 
-    /// Asks that the upstreams of a hall get nothing more.
+    /// Drains a hall: its upstreams are to get no further requests.
     pub fn drain_hall(&self, hall: &str) {
         self.put(
             Topic::DrainedHalls,
@@ -149,7 +149,7 @@
         );
     }
 
-    /// Takes that back.
+    /// Ends the drain of a hall.
     pub fn undrain_hall(&self, hall: &str) {
         self.remove(Topic::DrainedHalls, &Name::from(hall));
     }
@@ -172,7 +172,7 @@
         self.remove(Topic::Rollouts, &Name::from(pool));
     }
 
-    /// Names of the quarantined requests that are quarantines.
+    /// Returns the names of the stored quarantine records.
     pub fn quarantines(&self) -> Vec<String> {
         self.state().contents.quarantines.keys().cloned().collect()
     }
@@ -182,7 +182,7 @@
         self.write(Write::LiftQuarantines);
     }
 
-    /// How far the roll-out of a pool is.
+    /// Returns the state of the roll-out of a pool.
     pub fn rollout_state(&self, pool: &str) -> Option<RolloutState> {
         let state = self.state();
         match state
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Calls so far.
+    /// Returns the number of calls received.
     pub fn call_count(&self) -> u64 {
         self.state().calls
     }
@@ -220,7 +220,7 @@
 
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("mutex is not poisoned")
     }
 }
 
@@ -295,10 +295,10 @@
     }
 }
 
-/// Reads or writes who holds the duties, under the revision that the writer saw.
+/// Reads the duty record, or writes it if its revision is the one that the writer last read.
 fn duties(shared: &Shared, method: &Method, query: &str, body: &[u8]) -> Response<Full<Bytes>> {
     let mut state = shared.state();
-    let current_revision = state.contents.duties.as_ref().map(|stored| stored.revision);
+    let stored_revision = state.contents.duties.as_ref().map(|stored| stored.revision);
     let expected = match *method {
         Method::GET => None,
         Method::POST => Some(None),
@@ -308,7 +308,7 @@
     let mut code = StatusCode::OK;
     match (expected, serde_json::from_slice(body)) {
         (None, _) => {}
-        (Some(expected), Ok(record)) if expected == current_revision => {
+        (Some(expected), Ok(record)) if expected == stored_revision => {
             state.contents.revision += 1;
             let revision = state.contents.revision;
             state.contents.duties = Some(StoredDutyRecord { record, revision });
@@ -350,7 +350,7 @@
         if !changes.changes.is_empty() || Instant::now() >= deadline {
             return answer_json(&changes);
         }
-        let _timed_out = timeout_at(deadline, change_signal.changed()).await;
+        let _ignored = timeout_at(deadline, change_signal.changed()).await;
     }
 }
 
@@ -369,7 +369,7 @@
 }
 
 fn answer_json(value: &impl serde::Serialize) -> Response<Full<Bytes>> {
-    let body = serde_json::to_vec(value).expect("records are valid JSON");
+    let body = serde_json::to_vec(value).expect("records can be serialized");
     Response::new(Full::new(Bytes::from(body)))
 }
 
--- a/crates/ivyweir-standins/src/edge/record_store/state.rs
+++ b/crates/ivyweir-standins/src/edge/record_store/state.rs
@@ -1,4 +1,4 @@
-//! What the store holds, the writes that change it, and its backup.
+//! Contents of the record store, the writes that change them, and the backup.
 
 use std::collections::BTreeMap;
 
@@ -12,16 +12,16 @@
 
 use super::StoreFault;
 
-/// Data that a backup includes.
+/// Data included in a backup.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Contents {
     pub(super) revision: u64,
     pub(super) records: BTreeMap<(&'static str, Name), StoreRecord>,
-    /// Records of other writers, which cannot be read, by topic and name.
+    /// Records by other writers that the gateway cannot decode, by topic and name.
     pub(super) unreadable: BTreeMap<(&'static str, Name), Value>,
-    /// Quarantined requests, by the name of their record.
+    /// Quarantine records by name.
     pub(super) quarantines: BTreeMap<String, QuarantineRecord>,
-    /// Who holds the duties, and the revision of that.
+    /// The duty record with its revision.
     pub(super) duties: Option<StoredDutyRecord>,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl Write {
-    /// Name of the upstream whose record this puts or removes, if any.
+    /// Returns the name of the upstream whose record this puts or removes, if any.
     pub(super) fn upstream_name(&self) -> Option<&Name> {
         match self {
             Self::Put(Topic::Upstreams, name, _)
@@ -49,15 +49,15 @@
 #[derive(Default)]
 pub(super) struct State {
     pub(super) contents: Contents,
-    /// Watches from before this are told that history is gone.
+    /// Oldest revision from which watches can resume; earlier ones are answered with 410.
     pub(super) history_from: u64,
     pub(super) change_log: Vec<(u64, Topic, Value)>,
     pub(super) backup: Contents,
     /// Writes by operators and upstreams since the backup.
     pub(super) writes_since_backup: Vec<Write>,
-    /// Writes by operators and upstreams that the last restore lost.
+    /// Writes by operators and upstreams lost in the last restore.
     pub(super) lost_writes: Vec<Write>,
-    /// Number of times the store was restored.
+    /// Number of restores.
     pub(super) era: u64,
     pub(super) fault: StoreFault,
     pub(super) calls: u64,
@@ -72,7 +72,7 @@
         self.era += 1;
     }
 
-    /// Applies a write by an operator or an upstream; putting a record that is already stored makes no revision.
+    /// Applies a write by an operator or an upstream. Putting a record that is already stored creates no revision.
     pub(super) fn write(&mut self, write: Write) {
         self.writes_since_backup.push(write.clone());
         match write {
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Whether putting `item` would change nothing. Of a roll-out that is not over, only the target version and the
-    /// duration are compared; one that is over is always written anew.
+    /// Returns whether putting `item` would change nothing. For a roll-out in progress, only the target version and the
+    /// duration are compared; a finished roll-out is always written again.
     fn is_already_stored(&self, topic: Topic, name: &Name, item: &StoreRecord) -> bool {
         let known = self.contents.records.get(&(topic.name(), name.clone()));
         match (known, item) {
@@ -118,7 +118,7 @@
     }
 
     fn log_change(&mut self, topic: Topic, change: &RecordChange) {
-        let change = serde_json::to_value(change).expect("changes are valid JSON");
+        let change = serde_json::to_value(change).expect("changes can be serialized");
         self.change_log
             .push((self.contents.revision, topic, change));
     }
@@ -138,7 +138,7 @@
     pub(super) fn page(&self, topic: Topic) -> RecordPage {
         let readable = self.contents.records.iter();
         let readable = readable.map(|(key, item)| {
-            let record = serde_json::to_value(item).expect("records are valid JSON");
+            let record = serde_json::to_value(item).expect("records can be serialized");
             (key, record)
         });
         let unreadable = self
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Writes a roll-out's state under the revision that the writer saw.
+    /// Updates a roll-out if its revision is the one that the writer last read.
     pub(super) fn write_rollout(
         &mut self,
         order: RolloutOrder,
