--- a/crates/ivyweir-standins/src/edge.rs
+++ b/crates/ivyweir-standins/src/edge.rs
@@ -1,7 +1,7 @@
-//! Stand-ins around the request gateway: a store of records, scripted_upstream upstreams, and boxes as
-//! processes.
+//! Test doubles for the systems around the request gateway (record store, platform, peer proxy and scripted upstreams),
+//! and gateway boxes run as child processes.
 //!
-//! They speak the gateway's own interface.
+//! The test doubles implement the gateway's native protocol.
 
 mod duty_invariant;
 mod duty_platform;
--- a/crates/ivyweir-standins/src/edge/rate_limit_invariant.rs
+++ b/crates/ivyweir-standins/src/edge/rate_limit_invariant.rs
@@ -19,7 +19,7 @@
 /// Requires that the boxes notified of an upstream's advertised limit together stay within it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimitInvariant {
-    /// Time in milliseconds after the first advertisement of a limit during which windows are not checked.
+    /// Time in milliseconds after the first advertisement of a limit; windows that end within it are not checked.
     pub settling_ms: u64,
     /// Time in milliseconds after a box is notified during which its requests are not counted.
     pub notice_grace_ms: u64,
--- a/crates/ivyweir-standins/src/edge/record_store.rs
+++ b/crates/ivyweir-standins/src/edge/record_store.rs
@@ -350,6 +350,7 @@
         if !changes.changes.is_empty() || Instant::now() >= deadline {
             return answer_json(&changes);
         }
+        // Both a change and the deadline lead to another check.
         let _ignored = timeout_at(deadline, change_signal.changed()).await;
     }
 }
--- a/crates/ivyweir-standins/src/edge/scripted_upstream.rs
+++ b/crates/ivyweir-standins/src/edge/scripted_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that does with each request what a test says, and remembers what reached it.
+//! Upstream that handles each request as scripted by a test and records the requests it receives.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -23,68 +23,69 @@
 
 type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Time for the head of an answer to leave before its body breaks off; without it the library drops the head too.
+/// Delay between the response head and the body error that truncates the response. Without it, the HTTP library drops the
+/// head as well.
 const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
 
-/// What an upstream does with a request.
+/// How an upstream handles a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpstreamAction {
-    /// Answers with this status, signed.
+    /// Responds with this status and a signature.
     Answer(u16),
-    /// Answers a success without a signature.
+    /// Responds with status 200 but without a signature.
     Unsigned,
-    /// Answers under another request's id.
+    /// Responds with the id of another request.
     WrongId,
-    /// Says that it did not run the request.
+    /// Refuses the request as not run.
     NotRun,
-    /// Says that another incarnation has the address.
+    /// Responds that the address now belongs to another incarnation.
     OtherIncarnation,
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// Breaks its body off.
+    /// Truncates the response body.
     TruncateBody,
-    /// Never answers.
+    /// Never responds.
     Hang,
-    /// Ends its process, with all its connections, after so many events of a stream; with none of them before
-    /// the head of its answer.
+    /// Exits, closing all connections, after this number of stream events. With zero events, it exits before sending the
+    /// response head.
     Exit {
-        /// Events before it ends.
+        /// Number of events sent before it exits.
         after_events: u64,
     },
-    /// Answers with so many events.
+    /// Responds with a stream of events.
     Stream {
-        /// Number of events.
+        /// Number of the last event of the stream.
         events: u64,
-        /// Pause between them.
+        /// Delay before each event in milliseconds.
         gap_ms: u64,
-        /// Events after which it breaks off, in the middle of the next one.
+        /// Number of the event after which the stream is truncated, in the middle of the next one.
         truncate_after: Option<u64>,
-        /// The model's opinion of its answer.
+        /// Confidence of the model in its response.
         confidence: Option<u8>,
     },
 }
 
-/// A request as it reached an upstream.
+/// A request received by an upstream.
 #[derive(Debug, Clone)]
 pub struct ReceivedRequest {
-    /// Method and path.
+    /// Method and URI, separated by a space.
     pub request_line: String,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// When it came.
+    /// Arrival time.
     pub received_at: Instant,
-    /// Whether it was run; only a refusal says that it was not.
+    /// Whether the request was run; only refused requests are not.
     pub was_run: bool,
-    /// For how many seconds its refusal said that nothing more is wanted.
+    /// The `retry-after` value of a refusal, in seconds.
     pub retry_after: Option<String>,
-    /// The limit that its answer names, in requests a second.
+    /// The limit advertised in the response, in requests per second.
     pub advertised_limit: Option<String>,
 }
 
 impl ReceivedRequest {
-    /// A header's value.
+    /// Returns the value of a header, or `None` if it is absent or not text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
@@ -97,45 +98,45 @@
     shared: Arc<Shared>,
 }
 
-/// Header in which each answer names its upstream.
+/// Response header that carries the id of the upstream.
 pub const ANSWERED_BY: &str = "x-answered-by";
 
 struct Shared {
     name: Name,
     default_action: Mutex<UpstreamAction>,
-    /// What it does with requests of these bodies.
+    /// Actions for requests with specific bodies; these take precedence over all others.
     actions_by_body: Mutex<Vec<(Bytes, UpstreamAction)>>,
-    /// Ends its process.
+    /// Notified when the simulated process exits.
     exit_signal: Arc<Notify>,
     has_exited: AtomicBool,
-    /// Whether its answers say that it leaves.
+    /// Whether responses announce that the upstream is leaving.
     advertises_leaving: AtomicBool,
-    /// What its refusals say of when to come back.
+    /// The `retry-after` value of refusals.
     retry_after: Mutex<Option<String>>,
-    /// The limit that its answers name.
+    /// The limit advertised in responses.
     limit: Mutex<Option<String>>,
-    /// Further headers of its answers.
+    /// Additional response headers.
     extra_headers: Mutex<Vec<(HeaderName, HeaderValue)>>,
-    /// For the requests to come, before `act` holds again.
+    /// Actions for the next requests, in reverse order, used before `default_action`.
     next_actions: Mutex<Vec<UpstreamAction>>,
     received_requests: Mutex<Vec<ReceivedRequest>>,
     active_requests: AtomicU64,
 }
 
 impl ScriptedUpstream {
-    /// Starts an upstream on a free port.
+    /// Starts an upstream on a free loopback port.
     pub fn start(id: &str, pool: &str, version: &str) -> Self {
         Self::start_at((Ipv4Addr::LOCALHOST, 0).into(), id, pool, version)
     }
 
-    /// Starts an upstream on a free port of an address of loopback that no other test has, so that nobody
-    /// listens there once it has ended.
+    /// Starts an upstream on a free port of a loopback address that no other test uses, so that nothing listens there
+    /// after it exits.
     pub fn start_on_own_ip(id: &str, pool: &str, version: &str) -> Self {
         Self::start_at((own_ip(), 0).into(), id, pool, version)
     }
 
-    /// Starts an upstream, as [`start_on_own_ip`](Self::start_on_own_ip), that tells when its process started: it may have
-    /// the name of an earlier one.
+    /// Starts an upstream as [`start_on_own_ip`](Self::start_on_own_ip) does, with an id that includes the start time of its
+    /// process. It may be registered under the name of an earlier incarnation.
     pub fn start_incarnation(name: &str, started_at_ms: u64, pool: &str, version: &str) -> Self {
         let id = UpstreamRecord::incarnation_id(name, started_at_ms);
         let mut upstream = Self::start_on_own_ip(&id, pool, version);
@@ -160,7 +161,7 @@
             active_requests: AtomicU64::new(0),
         });
         let serving = shared.clone();
-        let listener = TcpListener::bind(addr).expect("a port can be bound");
+        let listener = TcpListener::bind(addr).expect("address can be bound");
         let addr = serve_until(listener, shared.exit_signal.clone(), move |request| {
             let shared = serving.clone();
             async move { answer(shared, request).await }
@@ -171,12 +172,12 @@
         }
     }
 
-    /// Its record in the registry.
+    /// Returns its registry record.
     pub fn record(&self) -> UpstreamRecord {
         self.record.clone()
     }
 
-    /// Its record once it leaves.
+    /// Returns its registry record, marked as leaving.
     pub fn leaving_record(&self) -> UpstreamRecord {
         UpstreamRecord {
             is_leaving: true,
@@ -184,44 +185,44 @@
         }
     }
 
-    /// Its id.
+    /// Returns its id.
     pub fn id(&self) -> Name {
         self.record.id.clone()
     }
 
-    /// Sets what it does from now on.
+    /// Sets the default action.
     pub fn set_action(&self, action: UpstreamAction) {
         *lock(&self.shared.default_action) = action;
     }
 
-    /// Says in each answer from now on that it leaves; its record says nothing of that.
+    /// Announces in all further responses that the upstream is leaving; its registry record is unchanged.
     pub fn advertise_leaving(&self) {
         self.shared.advertises_leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Says from now on with what it refuses as not run for how many seconds it wants nothing more.
+    /// Sets the `retry-after` value, in seconds, of refusals as not run.
     pub fn set_retry_after(&self, seconds: &str) {
         *lock(&self.shared.retry_after) = Some(seconds.to_owned());
     }
 
-    /// Names in each answer from now on how many requests a second it takes from all boxes together; none ends that.
+    /// Sets the limit advertised in responses, in requests per second over all boxes; `None` stops advertising it.
     pub fn advertise_limit(&self, per_s: Option<&str>) {
         *lock(&self.shared.limit) = per_s.map(str::to_owned);
     }
 
-    /// Adds a header to each answer from now on.
+    /// Adds a header to all further responses.
     pub fn add_header(&self, name: &str, value: &str) {
-        let name = name.parse().expect("a valid name");
-        let value = value.parse().expect("a valid value");
+        let name = name.parse().expect("valid header name");
+        let value = value.parse().expect("valid header value");
         lock(&self.shared.extra_headers).push((name, value));
     }
 
-    /// Sets what it does with requests of this body, whatever it does with others.
+    /// Sets the action for requests with this body, replacing all earlier actions set by body.
     pub fn set_action_for_body(&self, body: &'static [u8], action: UpstreamAction) {
         self.set_action_for_bodies(&[body], action);
     }
 
-    /// Sets what it does with requests of these bodies.
+    /// Sets the action for requests with these bodies, replacing all earlier actions set by body.
     pub fn set_action_for_bodies(&self, bodies: &[&'static [u8]], action: UpstreamAction) {
         let actions_by_body = bodies
             .iter()
@@ -229,28 +230,28 @@
         *lock(&self.shared.actions_by_body) = actions_by_body.collect();
     }
 
-    /// Ends its process, with all its connections.
+    /// Simulates the exit of the process: closes the listener and all connections.
     pub fn exit(&self) {
         self.shared.exit();
     }
 
-    /// Whether its process has ended.
+    /// Returns whether the simulated process has exited.
     pub fn has_exited(&self) -> bool {
         self.shared.has_exited.load(Ordering::SeqCst)
     }
 
-    /// Sets what it does with the next requests, first to last.
+    /// Sets the actions for the next requests, in order.
     pub fn set_next_actions(&self, mut actions: Vec<UpstreamAction>) {
         actions.reverse();
         *lock(&self.shared.next_actions) = actions;
     }
 
-    /// What reached it.
+    /// Returns the requests received so far.
     pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         lock(&self.shared.received_requests).clone()
     }
 
-    /// Requests that it works on.
+    /// Returns the number of requests in progress.
     pub fn active_requests(&self) -> u64 {
         self.shared.active_requests.load(Ordering::SeqCst)
     }
@@ -277,7 +278,7 @@
         self.exit_signal.notify_one();
     }
 
-    /// What is done with a request of this body.
+    /// Returns the action for a request with this body.
     fn action_for(&self, body: &Bytes) -> UpstreamAction {
         let actions_by_body = lock(&self.actions_by_body);
         if let Some((_, action)) = actions_by_body.iter().find(|(known, _)| known == body) {
@@ -289,7 +290,7 @@
     }
 }
 
-/// Counts a request while it is worked on.
+/// Counts a request as active until dropped.
 struct ActiveGuard(Arc<Shared>);
 
 impl ActiveGuard {
@@ -332,45 +333,45 @@
     }
     headers.insert(
         "ivyweir-signature",
-        "signed".parse().expect("a valid value"),
+        "signed".parse().expect("valid header value"),
     );
-    headers.insert("ivyweir-load", "1,0,8".parse().expect("a valid value"));
-    // Passed on as any other header: tells a test whose answer a caller got.
-    let name = shared.name.parse().expect("a valid value");
+    headers.insert("ivyweir-load", "1,0,8".parse().expect("valid header value"));
+    // The gateway forwards this header unchanged, so that a test can tell which upstream responded.
+    let name = shared.name.parse().expect("valid header value");
     headers.insert(ANSWERED_BY, name);
     if shared.advertises_leaving.load(Ordering::SeqCst) {
-        headers.insert("ivyweir-leaving", "1".parse().expect("a valid value"));
+        headers.insert("ivyweir-leaving", "1".parse().expect("valid header value"));
     }
     for (name, value) in lock(&shared.extra_headers).iter() {
         headers.insert(name, value.clone());
     }
     if let Some(per_s) = limit {
-        headers.insert("ivyweir-limit", per_s.parse().expect("a valid value"));
+        headers.insert("ivyweir-limit", per_s.parse().expect("valid header value"));
     }
     match action {
         UpstreamAction::Answer(status) => {
-            *answer.status_mut() = StatusCode::from_u16(status).expect("valid")
+            *answer.status_mut() = StatusCode::from_u16(status).expect("valid status code")
         }
         UpstreamAction::Unsigned => drop(headers.remove("ivyweir-signature")),
         UpstreamAction::WrongId => {
-            let other = "another-request".parse().expect("a valid value");
+            let other = "another-request".parse().expect("valid header value");
             headers.insert("ivyweir-request-id", other);
         }
         UpstreamAction::NotRun => {
-            headers.insert("ivyweir-not-run", "1".parse().expect("a valid value"));
+            headers.insert("ivyweir-not-run", "1".parse().expect("valid header value"));
             if let Some(seconds) = &*lock(&shared.retry_after) {
-                headers.insert("retry-after", seconds.parse().expect("a valid value"));
+                headers.insert("retry-after", seconds.parse().expect("valid header value"));
             }
             headers.remove("ivyweir-signature");
             *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
         UpstreamAction::OtherIncarnation => *answer.status_mut() = StatusCode::MISDIRECTED_REQUEST,
-        UpstreamAction::Close => return Err(io::Error::other("closes without an answer")),
+        UpstreamAction::Close => return Err(io::Error::other("scripted close without a response")),
         UpstreamAction::TruncateBody => {
             let begin = stream::iter([Ok(Frame::data(Bytes::from(echo)))]);
             let end = stream::once(async {
                 sleep(TRUNCATION_DELAY).await;
-                Err(io::Error::other("breaks off"))
+                Err(io::Error::other("scripted truncation of the body"))
             });
             let frames = stream::StreamExt::chain(begin, end);
             *answer.body_mut() = StreamBody::new(frames).boxed_unsync();
@@ -406,7 +407,7 @@
     Ok(answer)
 }
 
-/// Events behind `last` up to `events`; an event's text says its number and who made it.
+/// Streams the events after `last` up to `events`. The text of an event contains its number.
 fn event_stream(
     active: ActiveGuard,
     last: u64,
@@ -435,7 +436,7 @@
     StreamBody::new(Box::pin(frames)).boxed_unsync()
 }
 
-/// Passes events on and then ends the process.
+/// Forwards all events and then exits.
 fn then_exit(events: Body, shared: Arc<Shared>) -> Body {
     let exiting = stream::once(async move {
         shared.exit();
@@ -448,7 +449,7 @@
 fn truncation_error(
     truncate_after: Option<u64>,
 ) -> impl stream::Stream<Item = io::Result<Frame<Bytes>>> {
-    let error = truncate_after.map(|_| Err(io::Error::other("breaks off")));
+    let error = truncate_after.map(|_| Err(io::Error::other("scripted truncation of the body")));
     stream::iter(error)
 }
 
@@ -459,5 +460,5 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    mutex.lock().expect("no holder panics")
+    mutex.lock().expect("mutex is not poisoned")
 }
--- a/crates/ivyweir-standins/src/edge/test_cluster.rs
+++ b/crates/ivyweir-standins/src/edge/test_cluster.rs
@@ -1,4 +1,4 @@
-//! A store, upstreams and boxes together, and callers of the boxes.
+//! Test cluster of a store, upstreams and boxes, with an HTTP client for calls to the boxes.
 
 use std::future::Future;
 use std::io;
@@ -30,13 +30,13 @@
 
 /// The host of all routes.
 pub const HOST: &str = "studio.example";
-/// The workspace of every town.
+/// The workspace in the configuration of each cluster.
 pub const WORKSPACE: &str = "studio";
-/// Its key.
+/// The caller key of [`WORKSPACE`].
 pub const KEY: &str = "key-of-the-studio";
-/// Boxes at which others join.
+/// Maximum number of seed addresses given to a new box.
 const MAX_SEEDS: usize = 3;
-/// Time for a condition to come true.
+/// Maximum time for a condition to become true.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A store, upstreams and boxes.
@@ -47,24 +47,24 @@
     pub engines: Vec<ScriptedUpstream>,
     /// Upstreams of the pool `services`.
     pub services: Vec<ScriptedUpstream>,
-    /// The boxes.
+    /// The boxes; other methods identify a box by its index here.
     pub boxes: Vec<GatewayProcess>,
-    /// The `policy` section in the settings of boxes that start from now on.
+    /// The `policy` section in the settings of boxes started from now on.
     pub policy: Value,
-    /// The `duties` section in the settings of boxes that start from now on; null for none.
+    /// The `duties` section in the settings of boxes started from now on; null for none.
     pub duties: Value,
     binary: PathBuf,
     folder: PathBuf,
 }
 
 impl TestCluster {
-    /// Starts a store, two upstreams a pool, and no box yet.
+    /// Starts a store and two upstreams per pool, without any boxes.
     pub fn start(binary: impl Into<PathBuf>) -> Self {
         static CLUSTER_COUNT: AtomicU64 = AtomicU64::new(0);
         let number = CLUSTER_COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("ivyweir-town-{}-{number}", std::process::id());
         let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).expect("the temporary folder can be written");
+        std::fs::create_dir_all(&folder).expect("temporary folder is writable");
         let store = RecordStore::start();
         let upstream = |pool: &str, n: usize| {
             let upstream = ScriptedUpstream::start(&format!("{pool}-{n}"), pool, "v1");
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Starts a store, two upstreams a pool, and a box in each of these halls; waits until they are ready.
+    /// Starts a store, two upstreams per pool, and one box in each of these halls; waits until the boxes are ready.
     pub fn with_boxes(binary: impl Into<PathBuf>, halls: &[&str]) -> Self {
         let mut cluster = Self::start(binary);
         for hall in halls {
@@ -108,7 +108,7 @@
         number
     }
 
-    /// Starts a box that reaches the store at `store_addr`, whether it becomes ready or not.
+    /// Starts a box that reaches the store at `store_addr`, without waiting until it is ready.
     pub fn start_box(&mut self, hall: &str, store_addr: &str) -> usize {
         let number = self.boxes.len();
         let name = format!("box-{number}");
@@ -127,19 +127,19 @@
         number
     }
 
-    /// Addresses at which a box that starts now joins the others.
+    /// Returns the seed addresses for a box started now.
     pub fn seed_addrs(&self) -> Vec<SocketAddr> {
         let first = self.boxes.iter().take(MAX_SEEDS);
         first.map(|running| running.peer_addr).collect()
     }
 
-    /// Whether a box tells the balancer that it takes connections.
+    /// Returns whether the readiness probe of a box succeeds.
     pub fn is_ready(&self, number: usize) -> bool {
         let reply = get(self.boxes[number].ready_addr, "/readyz", &[]);
         reply.is_ok_and(|reply| reply.status == 200)
     }
 
-    /// Status of a plain request with this key to a box; 0 if there is no answer.
+    /// Sends a request with this key to a box and returns the status, or 0 if there is no response.
     pub fn status(&self, number: usize, key: &str) -> u16 {
         let auth = format!("Bearer {key}");
         let headers = [
@@ -149,7 +149,7 @@
         get(self.addr(number), "/safe/x", &headers).map_or(0, |reply| reply.status)
     }
 
-    /// Where callers reach a box.
+    /// Returns the caller address of a box.
     pub fn addr(&self, number: usize) -> SocketAddr {
         self.boxes[number].caller_addr
     }
@@ -158,11 +158,12 @@
 impl Drop for TestCluster {
     fn drop(&mut self) {
         self.boxes.clear();
+        // A folder that cannot be removed does not fail the test.
         let _ignored = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Any free port of loopback.
+/// Returns a loopback address whose port 0 selects a free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -171,16 +172,19 @@
 ///
 /// # Panics
 ///
-/// When it does not within half a minute.
+/// Panics if the condition does not hold within 30 s.
 pub fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + CONDITION_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "{what} did not come true");
+        assert!(
+            Instant::now() < deadline,
+            "condition not met within 30 s: {what}"
+        );
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A configuration with a route of each kind, and a workspace with these keys.
+/// Builds a configuration with a route of each kind and a workspace with these keys.
 pub fn site_config(version: u64, keys: &[&str]) -> SiteConfig {
     let route = |name: &str, kind: RouteKind, pool: &str, max_attempts: u32| {
         Arc::new(Route {
@@ -236,46 +240,46 @@
     }
 }
 
-/// What a caller got.
+/// A response received by a caller.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
-    /// The body, as far as it came.
+    /// The body, as far as it was received.
     pub body: Bytes,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end.
     pub is_complete: bool,
 }
 
 impl Reply {
-    /// The body as text.
+    /// Returns the body as text, with invalid UTF-8 replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Ids of events in a body, in order.
+/// Returns the event ids in a body, in order.
 pub fn event_ids(body: &str) -> Vec<u64> {
     let ids = body.lines().filter_map(|line| line.strip_prefix("id: "));
     ids.filter_map(|id| id.parse().ok()).collect()
 }
 
-/// Asks for a path without a body.
+/// Sends a GET request without a body.
 ///
 /// # Errors
 ///
-/// When no head of an answer came.
+/// Returns an error if no response head is received.
 pub fn get(addr: SocketAddr, path: &str, headers: &[(&str, &str)]) -> io::Result<Reply> {
     call(addr, "GET", path, headers, Bytes::new())
 }
 
-/// Posts to a path of a stream with the studio's key.
+/// Sends a POST request for a stream, with the key [`KEY`].
 ///
 /// # Errors
 ///
-/// When no head of an answer came.
+/// Returns an error if no response head is received.
 pub fn post_stream(addr: SocketAddr, path: &str, request_id: &str) -> io::Result<Reply> {
     let headers = [
         ("ivyweir-request-id", request_id),
@@ -285,11 +289,11 @@
     call(addr, "POST", path, &headers, Bytes::from_static(b"prompt"))
 }
 
-/// Makes a call on a connection of its own.
+/// Sends a request on a new connection.
 ///
 /// # Errors
 ///
-/// When no head of an answer came.
+/// Returns an error if no response head is received.
 pub fn call(
     addr: SocketAddr,
     method: &str,
@@ -342,10 +346,13 @@
 
 fn runtime() -> Runtime {
     let mut builder = Builder::new_current_thread();
-    builder.enable_all().build().expect("a runtime can be made")
+    builder
+        .enable_all()
+        .build()
+        .expect("Tokio runtime can be built")
 }
 
-/// Serves HTTP on a free port of loopback, on a thread that lives as long as the process.
+/// Serves HTTP on a free loopback port, on a thread that runs until the process exits.
 pub fn serve_on_thread<F, A, B, E>(answer: F) -> SocketAddr
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
@@ -355,12 +362,11 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
     E: Into<Box<dyn std::error::Error + Send + Sync>> + 'static,
 {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port can be bound");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback port can be bound");
     serve_until(listener, Arc::default(), answer)
 }
 
-/// Serves HTTP on a thread until `end` is notified; then all its connections close at once, and nobody
-/// listens.
+/// Serves HTTP on a thread until `end` is notified, which closes the listener and all connections at once.
 pub fn serve_until<F, A, B, E>(
     listener: std::net::TcpListener,
     end: Arc<Notify>,
@@ -374,11 +380,14 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
     E: Into<Box<dyn std::error::Error + Send + Sync>> + 'static,
 {
-    listener.set_nonblocking(true).expect("a socket can be set");
-    let addr = listener.local_addr().expect("it is bound");
+    listener
+        .set_nonblocking(true)
+        .expect("listener can be set to non-blocking");
+    let addr = listener.local_addr().expect("listener has a local address");
     thread::spawn(move || {
         runtime().block_on(async move {
-            let listener = TcpListener::from_std(listener).expect("it listens");
+            let listener = TcpListener::from_std(listener)
+                .expect("listener can be registered with the runtime");
             let serving = async {
                 loop {
                     let Ok((stream, _)) = listener.accept().await else {
@@ -388,6 +397,7 @@
                     let connection =
                         server::Builder::new().serve_connection(TokioIo::new(stream), service);
                     tokio::spawn(async move {
+                        // A caller may disconnect at any time, which ends the connection with an error.
                         let _ignored = connection.await;
                     });
                 }
