--- a/crates/ivyweir-standins/src/edge/duty_invariant.rs
+++ b/crates/ivyweir-standins/src/edge/duty_invariant.rs
@@ -14,13 +14,13 @@
     pub sender: Name,
     /// The fencing token of the call.
     pub fence: u64,
-    /// The subject of the call. Calls with different subjects are checked independently, except that the reports of a usage
-    /// window are compared across all calls.
+    /// The subject of the call. Calls with different subjects are checked independently, except that the reports of a
+    /// usage window are compared across all calls.
     pub subject: String,
     /// For usage reports, the window and the reported content.
     pub report: Option<(u64, String)>,
-    /// Whether the call is exempt from the ordering checks, because its sender had just been suspended or the platform was
-    /// faulty.
+    /// Whether the call is exempt from the ordering checks, because its sender had just been suspended or the
+    /// platform was faulty.
     pub is_exempt_from_order: bool,
 }
 
--- a/crates/ivyweir-standins/src/edge/duty_platform.rs
+++ b/crates/ivyweir-standins/src/edge/duty_platform.rs
@@ -53,8 +53,8 @@
         self.addr
     }
 
-    /// Sets whether the server answers further calls with 503. Refused calls are recorded in [`calls`](Self::calls), but their
-    /// reports and orders are not accepted.
+    /// Sets whether the server answers further calls with 503. Refused calls are recorded in [`calls`](Self::calls),
+    /// but their reports and orders are not accepted.
     pub fn set_refusing(&self, refusing: bool) {
         self.state().status = if refusing {
             StatusCode::SERVICE_UNAVAILABLE
--- a/crates/ivyweir-standins/src/edge/gateway_process.rs
+++ b/crates/ivyweir-standins/src/edge/gateway_process.rs
@@ -49,7 +49,8 @@
     pub duties: &'a Value,
 }
 
-/// Builds the settings of a box. The remaining listeners use free ports, and the bounds are those that the tests rely on.
+/// Builds the settings of a box. The remaining listeners use free ports, and the bounds are those that the tests rely
+/// on.
 pub fn gateway_settings(spec: &BoxSpec) -> Value {
     json!({
         "box_name": spec.name, "hall": spec.hall,
--- a/crates/ivyweir-standins/src/edge/peer_filter.rs
+++ b/crates/ivyweir-standins/src/edge/peer_filter.rs
@@ -47,7 +47,8 @@
             let filter_addr = *shared_addr.lock().expect("mutex is not poisoned");
             async move {
                 let answer = answer(request, target, filter_addr).await?;
-                // The topic is checked after the response arrives, so that long polls that were already waiting are refused too.
+                // Checked after the response arrives, so that long polls that were already waiting are refused too: a
+                // box without a source for the topic does not answer them either.
                 let refused = refused.lock().expect("mutex is not poisoned").clone();
                 let is_refused = refused.is_some_and(|topic: String| query.contains(&topic));
                 Ok::<_, io::Error>(if is_refused { unavailable() } else { answer })
@@ -124,8 +125,8 @@
     answer
 }
 
-/// Replaces the address of the joining box by one without a listener. Otherwise the box behind the proxy would join it in
-/// turn, announcing an address that bypasses the proxy.
+/// Replaces the address of the joining box by one without a listener. Otherwise the box behind the proxy would join
+/// it in turn, announcing an address that bypasses the proxy.
 fn with_unused_sender_addr(body: &[u8]) -> io::Result<Bytes> {
     let mut message: Value = message::decode(body, MAX_MESSAGE_BYTES)?;
     message["from"]["peer_addr"] = UNUSED_ADDR.into();
--- a/crates/ivyweir-standins/src/edge/rate_limit_invariant.rs
+++ b/crates/ivyweir-standins/src/edge/rate_limit_invariant.rs
@@ -1,4 +1,5 @@
-//! Checks that upstream rate limits are respected, using only requests received by upstreams and no data reported by boxes.
+//! Checks that upstream rate limits are respected, using only requests received by upstreams and no data reported by
+//! boxes.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -63,8 +64,8 @@
         slack: 5.0,
     };
 
-    /// Checks the requests received by one incarnation of an upstream, in arrival order. A box counts as notified from its
-    /// first request whose response advertises a limit.
+    /// Checks the requests received by one incarnation of an upstream, in arrival order. A box counts as notified
+    /// from its first request whose response advertises a limit.
     ///
     /// # Errors
     ///
@@ -119,8 +120,8 @@
         Ok(())
     }
 
-    /// Returns the arrival time and advertised limit of each counted request: one whose response advertises a limit and whose
-    /// sender was notified at least `notice_grace_ms` earlier.
+    /// Returns the arrival time and advertised limit of each counted request: one whose response advertises a limit and
+    /// whose sender was notified at least `notice_grace_ms` earlier.
     fn counted(
         &self,
         arrivals: &[Arrival],
--- a/crates/ivyweir-standins/src/edge/scripted_upstream.rs
+++ b/crates/ivyweir-standins/src/edge/scripted_upstream.rs
@@ -23,8 +23,8 @@
 
 type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Delay between the response head and the body error that truncates the response. Without it, the HTTP library drops the
-/// head as well.
+/// Delay between the response head and the body error that truncates the response. Without it, the HTTP library drops
+/// the head as well.
 const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
 
 /// How an upstream handles a request.
@@ -46,8 +46,8 @@
     TruncateBody,
     /// Never responds.
     Hang,
-    /// Exits, closing all connections, after this number of stream events. With zero events, it exits before sending the
-    /// response head.
+    /// Exits, closing all connections, after this number of stream events. With zero events, it exits before sending
+    /// the response head.
     Exit {
         /// Number of events sent before it exits.
         after_events: u64,
@@ -135,8 +135,8 @@
         Self::start_at((own_ip(), 0).into(), id, pool, version)
     }
 
-    /// Starts an upstream as [`start_on_own_ip`](Self::start_on_own_ip) does, with an id that includes the start time of its
-    /// process. It may be registered under the name of an earlier incarnation.
+    /// Starts an upstream as [`start_on_own_ip`](Self::start_on_own_ip) does, with an id that includes the start time
+    /// of its process. It may be registered under the name of an earlier incarnation.
     pub fn start_incarnation(name: &str, started_at_ms: u64, pool: &str, version: &str) -> Self {
         let id = UpstreamRecord::incarnation_id(name, started_at_ms);
         let mut upstream = Self::start_on_own_ip(&id, pool, version);
