--- a/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
@@ -9,7 +9,7 @@
 use ivyweir_policy::gateway::rate_limit::LimitUpdate;
 use ivyweir_policy::gateway::statement::{DeclaredLimit, Source, Statement};
 use ivyweir_policy::gateway::upstreams::{SendRules, Upstreams};
-use ivyweir_standins::edge::{Arrival, LimitPromise};
+use ivyweir_standins::edge::{Arrival, RateLimitInvariant};
 use proptest::prelude::*;
 
 use common::{Event, STEP_MS, SimBox, SimFleet, Trouble, hash, troubles};
@@ -222,8 +222,8 @@
             }
             arrivals.push(Arrival {
                 at_ms: now_ms,
-                from: sender(sim),
-                names_per_s,
+                sender: sender(sim),
+                advertised_per_s: names_per_s,
             });
         }
         if now_ms.is_multiple_of(EXCHANGE_INTERVAL_MS) {
@@ -240,7 +240,7 @@
         fn $name() {
             let per_s: f64 = $per_s;
             let arrivals = simulate($boxes, $halls, LimitSchedule::Steady(per_s), &[], 42_000, sender_by_box);
-            assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+            assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
             let span = |from_ms: u64, for_ms: u64| {
                 let within = |a: &&Arrival| a.at_ms >= from_ms && a.at_ms < from_ms + for_ms;
                 arrivals.iter().filter(within).count() as f64
@@ -273,7 +273,7 @@
         #[test]
         fn $name() {
             let arrivals = simulate($boxes, $halls, $schedule, &[], 60_000, sender_by_box);
-            assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+            assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
         }
     )*};
 }
@@ -296,7 +296,7 @@
             let schedule = LimitSchedule::Steady($per_s);
             let arrivals =
                 simulate_workload($boxes, $halls, schedule, workload, &[], $until_ms + 10_000, sender_by_box);
-            assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+            assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
         }
     )*};
 }
@@ -348,7 +348,7 @@
         40_000,
         sender_by_start,
     );
-    assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+    assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
     let after = arrivals.iter().filter(|arrival| arrival.at_ms >= 24_000);
     assert!(after.count() >= 12, "too few requests after the restarts");
 }
@@ -361,6 +361,6 @@
     ) {
         let events: Vec<Event> = events.into_iter().map(|(at_ms, n, trouble)| (at_ms, n % boxes, trouble)).collect();
         let arrivals = simulate(boxes, halls, LimitSchedule::Steady(per_s), &events, 60_000, sender_by_box);
-        prop_assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+        prop_assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
     }
 }
--- a/crates/ivyweir-standins/src/edge/duty_platform.rs
+++ b/crates/ivyweir-standins/src/edge/duty_platform.rs
@@ -1,4 +1,4 @@
-//! A platform that takes the calls of duties, and remembers them.
+//! Test double of the platform API: accepts calls made by duties and records them.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use ivyweir_policy::gateway::duty::scaling::UpstreamOrder;
 use ivyweir_policy::gateway::duty::usage::UsageReport;
 
-use super::duty_promise::DutyCall;
-use super::town::serve_on_thread;
+use super::duty_invariant::DutyCall;
+use super::test_cluster::serve_on_thread;
 
-/// A running platform.
+/// A running platform server.
 #[derive(Clone)]
 pub struct DutyPlatform {
     addr: SocketAddr,
@@ -31,7 +31,7 @@
 }
 
 impl DutyPlatform {
-    /// Starts one on a free port.
+    /// Starts a server on a free loopback port.
     pub fn start() -> Self {
         let state = Arc::new(Mutex::new(State {
             started: Instant::now(),
@@ -40,39 +40,40 @@
             reports: Vec::new(),
             orders: Vec::new(),
         }));
-        let serving = state.clone();
+        let server_state = state.clone();
         let addr = serve_on_thread(move |request| {
-            let state = serving.clone();
+            let state = server_state.clone();
             async move { Ok::<_, Infallible>(answer(&state, request).await) }
         });
         Self { addr, state }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sets whether it refuses all further calls, which it has not taken then.
-    pub fn refuse(&self, refuses: bool) {
-        self.state().status = if refuses {
+    /// Sets whether the server answers further calls with 503. Refused calls are recorded in [`calls`](Self::calls),
+    /// but their reports and orders are not accepted.
+    pub fn set_refusing(&self, refusing: bool) {
+        self.state().status = if refusing {
             StatusCode::SERVICE_UNAVAILABLE
         } else {
             StatusCode::OK
         };
     }
 
-    /// All calls, in the order in which they arrived.
+    /// Returns all well-formed calls in arrival order, including refused ones.
     pub fn calls(&self) -> Vec<DutyCall> {
         self.state().calls.clone()
     }
 
-    /// Reports that were taken, each as often as it came.
+    /// Returns the accepted usage reports in arrival order; repeated reports are kept.
     pub fn reports(&self) -> Vec<UsageReport> {
         self.state().reports.clone()
     }
 
-    /// Orders that were taken.
+    /// Returns the accepted upstream orders in arrival order.
     pub fn orders(&self) -> Vec<UpstreamOrder> {
         self.state().orders.clone()
     }
@@ -89,7 +90,7 @@
         Some(value.to_str().ok()?.to_owned())
     };
     let fence = header("ivyweir-fence").and_then(|fence| fence.parse().ok());
-    let (Some(from), Some(fence), Ok(body)) =
+    let (Some(sender), Some(fence), Ok(body)) =
         (header("ivyweir-duty-holder"), fence, body.collect().await)
     else {
         return status(StatusCode::BAD_REQUEST);
@@ -99,20 +100,20 @@
     let at_ms = state.started.elapsed().as_millis() as u64;
     let mut call = DutyCall {
         at_ms,
-        from: from.into(),
+        sender: sender.into(),
         fence,
         subject: "usage".to_owned(),
         report: None,
-        is_excused: false,
+        is_exempt_from_order: false,
     };
-    let is_taken = state.status.is_success();
+    let is_accepted = state.status.is_success();
     match head.uri.path() {
         "/v1/usage" => {
             let Ok(report) = serde_json::from_slice::<UsageReport>(&body) else {
                 return status(StatusCode::BAD_REQUEST);
             };
             call.report = Some((report.window, format!("{:?}", report.counts)));
-            if is_taken {
+            if is_accepted {
                 state.reports.push(report);
             }
         }
@@ -121,7 +122,7 @@
                 return status(StatusCode::BAD_REQUEST);
             };
             call.subject = format!("{} in {}", order.pool, order.hall);
-            if is_taken {
+            if is_accepted {
                 state.orders.push(order);
             }
         }
@@ -138,5 +139,5 @@
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
-    state.lock().expect("no holder panics")
+    state.lock().expect("mutex is not poisoned")
 }
--- a/crates/ivyweir-standins/src/edge/record_store.rs
+++ b/crates/ivyweir-standins/src/edge/record_store.rs
@@ -1,4 +1,4 @@
-//! A store of records with watches, and the ways in which it fails.
+//! In-memory record store with long-poll watches and injectable faults.
 
 mod state;
 
@@ -23,18 +23,18 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-use super::town::serve_on_thread;
+use super::test_cluster::serve_on_thread;
 use state::{State, Write};
 
-/// How the store fails.
+/// Fault injected into the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreFault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// It answers nothing.
+    /// Never responds to calls.
     Silent,
-    /// It refuses every call.
+    /// Answers every call with 503.
     Refuse,
 }
 
@@ -47,43 +47,43 @@
 
 struct Shared {
     state: Mutex<State>,
-    news: watch::Sender<u64>,
+    change_signal: watch::Sender<u64>,
 }
 
 impl RecordStore {
-    /// Starts an empty store on a free port.
+    /// Starts an empty store on a free loopback port.
     pub fn start() -> Self {
         let shared = Arc::new(Shared {
             state: Mutex::default(),
-            news: watch::Sender::new(0),
+            change_signal: watch::Sender::new(0),
         });
-        let serving = shared.clone();
+        let server_shared = shared.clone();
         let addr = serve_on_thread(move |request| {
-            let shared = serving.clone();
+            let shared = server_shared.clone();
             async move { Ok::<_, Infallible>(answer(&shared, request).await) }
         });
         Self { addr, shared }
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sets how it fails.
+    /// Sets the injected fault.
     pub fn set_fault(&self, fault: StoreFault) {
         self.state().fault = fault;
-        self.shared.news.send_modify(|count| *count += 1);
+        self.shared.change_signal.send_modify(|count| *count += 1);
     }
 
-    /// Forgets all history: watches must list again.
+    /// Discards the change history, so that watches must list all records again.
     pub fn forget_history(&self) {
         let mut state = self.state();
         state.contents.revision += 1;
         state.history_from = state.contents.revision;
-        state.log.clear();
+        state.change_log.clear();
         drop(state);
-        self.shared.news.send_modify(|count| *count += 1);
+        self.shared.change_signal.send_modify(|count| *count += 1);
     }
 
     /// Replaces the backup with the current contents; the initial backup is empty.
@@ -96,7 +96,7 @@
     /// Restores the backup: later writes are lost, and their revision numbers are reused.
     pub fn restore(&self) {
         self.state().restore();
-        self.shared.news.send_modify(|count| *count += 1);
+        self.shared.change_signal.send_modify(|count| *count += 1);
     }
 
     /// Repeats the writes by operators and upstreams that the last restore lost; writes by boxes stay lost.
@@ -112,7 +112,7 @@
         lost.into_iter().rev().for_each(|write| self.write(write));
     }
 
-    /// Writes a configuration.
+    /// Writes the site configuration.
     pub fn put_site(&self, site: &SiteConfig) {
         self.put(
             Topic::Site,
@@ -121,7 +121,7 @@
         );
     }
 
-    /// Writes an upstream's record.
+    /// Writes an upstream record.
     pub fn put_upstream(&self, record: &UpstreamRecord) {
         self.put(
             Topic::Upstreams,
@@ -130,17 +130,17 @@
         );
     }
 
-    /// Removes an upstream's record.
+    /// Removes an upstream record.
     pub fn remove_upstream(&self, name: &Name) {
         self.remove(Topic::Upstreams, name);
     }
 
-    /// Writes over a record as another writer may: with something that cannot be read.
-    pub fn put_foreign(&self, topic: Topic, name: &str, record: Value) {
-        self.write(Write::PutForeign(topic, name.into(), record));
+    /// Overwrites a record with content that the gateway cannot decode, as another writer may do.
+    pub fn put_unreadable(&self, topic: Topic, name: &str, record: Value) {
+        self.write(Write::PutUnreadable(topic, name.into(), record));
     }
 
-    /// Asks that the upstreams of a hall get nothing more.
+    /// Drains a hall: its upstreams are to get no further requests.
     pub fn drain_hall(&self, hall: &str) {
         self.put(
             Topic::DrainedHalls,
@@ -149,7 +149,7 @@
         );
     }
 
-    /// Takes that back.
+    /// Ends the drain of a hall.
     pub fn undrain_hall(&self, hall: &str) {
         self.remove(Topic::DrainedHalls, &Name::from(hall));
     }
@@ -172,7 +172,7 @@
         self.remove(Topic::Rollouts, &Name::from(pool));
     }
 
-    /// Names of the quarantined requests that are kept.
+    /// Returns the names of the stored quarantine records.
     pub fn quarantines(&self) -> Vec<String> {
         self.state().contents.quarantines.keys().cloned().collect()
     }
@@ -182,7 +182,7 @@
         self.write(Write::LiftQuarantines);
     }
 
-    /// How far the roll-out of a pool is.
+    /// Returns the state of the roll-out of a pool.
     pub fn rollout_state(&self, pool: &str) -> Option<RolloutState> {
         let state = self.state();
         match state
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Calls so far.
-    pub fn calls(&self) -> u64 {
+    /// Returns the number of calls received.
+    pub fn call_count(&self) -> u64 {
         self.state().calls
     }
 
@@ -214,13 +214,13 @@
 
     fn write(&self, write: Write) {
         self.state().write(write);
-        self.shared.news.send_modify(|count| *count += 1);
+        self.shared.change_signal.send_modify(|count| *count += 1);
     }
 }
 
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("mutex is not poisoned")
     }
 }
 
@@ -276,18 +276,18 @@
     name: &[&str],
     body: &[u8],
 ) -> Response<Full<Bytes>> {
-    let kept = &mut shared.state().contents.quarantines;
+    let quarantines = &mut shared.state().contents.quarantines;
     match (method, name) {
-        (&Method::GET, []) => answer_json(&kept.values().collect::<Vec<_>>()),
-        (&Method::POST, [name]) if kept.contains_key(*name) => status(StatusCode::CONFLICT),
+        (&Method::GET, []) => answer_json(&quarantines.values().collect::<Vec<_>>()),
+        (&Method::POST, [name]) if quarantines.contains_key(*name) => status(StatusCode::CONFLICT),
         (&Method::POST, [name]) => match serde_json::from_slice(body) {
             Ok(record) => {
-                kept.insert((*name).to_owned(), record);
+                quarantines.insert((*name).to_owned(), record);
                 status(StatusCode::CREATED)
             }
             Err(_) => status(StatusCode::BAD_REQUEST),
         },
-        (&Method::DELETE, [name]) => match kept.remove(*name) {
+        (&Method::DELETE, [name]) => match quarantines.remove(*name) {
             Some(_) => status(StatusCode::OK),
             None => status(StatusCode::NOT_FOUND),
         },
@@ -295,10 +295,10 @@
     }
 }
 
-/// Reads or writes who holds the duties, under the revision that the writer saw.
+/// Reads the duty record, or writes it if its revision is the one that the writer last read.
 fn duties(shared: &Shared, method: &Method, query: &str, body: &[u8]) -> Response<Full<Bytes>> {
     let mut state = shared.state();
-    let known = state.contents.duties.as_ref().map(|stored| stored.revision);
+    let stored_revision = state.contents.duties.as_ref().map(|stored| stored.revision);
     let expected = match *method {
         Method::GET => None,
         Method::POST => Some(None),
@@ -308,7 +308,7 @@
     let mut code = StatusCode::OK;
     match (expected, serde_json::from_slice(body)) {
         (None, _) => {}
-        (Some(expected), Ok(record)) if expected == known => {
+        (Some(expected), Ok(record)) if expected == stored_revision => {
             state.contents.revision += 1;
             let revision = state.contents.revision;
             state.contents.duties = Some(StoredDutyRecord { record, revision });
@@ -331,26 +331,27 @@
         value.and_then(|(_, value)| value.parse().ok()).unwrap_or(0)
     };
     let since = field("since");
-    let until = Instant::now() + Duration::from_millis(field("wait_ms"));
-    let mut news = shared.news.subscribe();
+    let deadline = Instant::now() + Duration::from_millis(field("wait_ms"));
+    let mut change_signal = shared.change_signal.subscribe();
     loop {
-        let (gone, fault, changes) = {
+        let (history_is_gone, fault, changes) = {
             let state = shared.state();
-            let gone = since < state.history_from || since > state.contents.revision;
-            (gone, state.fault, state.changes(topic, since))
+            let history_is_gone = since < state.history_from || since > state.contents.revision;
+            (history_is_gone, state.fault, state.changes(topic, since))
         };
         match fault {
             StoreFault::None => {}
             StoreFault::Refuse => return status(StatusCode::SERVICE_UNAVAILABLE),
             StoreFault::Silent => std::future::pending().await,
         }
-        if gone {
+        if history_is_gone {
             return status(StatusCode::GONE);
         }
-        if !changes.changes.is_empty() || Instant::now() >= until {
+        if !changes.changes.is_empty() || Instant::now() >= deadline {
             return answer_json(&changes);
         }
-        let _woken = timeout_at(until, news.changed()).await;
+        // Both a change and the deadline lead to another check.
+        let _ignored = timeout_at(deadline, change_signal.changed()).await;
     }
 }
 
@@ -359,7 +360,7 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let (code, item) = shared.state().write_rollout(order);
-    shared.news.send_modify(|count| *count += 1);
+    shared.change_signal.send_modify(|count| *count += 1);
     let mut answer = match item {
         Some(StoreRecord::Rollout(order)) => answer_json(&order),
         _ => status(code),
@@ -369,7 +370,7 @@
 }
 
 fn answer_json(value: &impl serde::Serialize) -> Response<Full<Bytes>> {
-    let body = serde_json::to_vec(value).expect("records are valid JSON");
+    let body = serde_json::to_vec(value).expect("records can be serialized");
     Response::new(Full::new(Bytes::from(body)))
 }
 
--- a/crates/ivyweir-standins/src/edge/record_store/state.rs
+++ b/crates/ivyweir-standins/src/edge/record_store/state.rs
@@ -1,4 +1,4 @@
-//! What the store holds, the writes that change it, and its backup.
+//! Contents of the record store, the writes that change them, and the backup.
 
 use std::collections::BTreeMap;
 
@@ -12,16 +12,16 @@
 
 use super::StoreFault;
 
-/// Data that a backup includes.
+/// Data included in a backup.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Contents {
     pub(super) revision: u64,
     pub(super) records: BTreeMap<(&'static str, Name), StoreRecord>,
-    /// Records of other writers, which cannot be read, by topic and name.
-    pub(super) foreign: BTreeMap<(&'static str, Name), Value>,
-    /// Quarantined requests, by the name of their record.
+    /// Records by other writers that the gateway cannot decode, by topic and name.
+    pub(super) unreadable: BTreeMap<(&'static str, Name), Value>,
+    /// Quarantine records by name.
     pub(super) quarantines: BTreeMap<String, QuarantineRecord>,
-    /// Who holds the duties, and the revision of that.
+    /// The duty record with its revision.
     pub(super) duties: Option<StoredDutyRecord>,
 }
 
@@ -29,17 +29,17 @@
 #[derive(Debug, Clone)]
 pub(super) enum Write {
     Put(Topic, Name, StoreRecord),
-    PutForeign(Topic, Name, Value),
+    PutUnreadable(Topic, Name, Value),
     Remove(Topic, Name),
     LiftQuarantines,
 }
 
 impl Write {
-    /// Name of the upstream whose record this puts or removes, if any.
+    /// Returns the name of the upstream whose record this puts or removes, if any.
     pub(super) fn upstream_name(&self) -> Option<&Name> {
         match self {
             Self::Put(Topic::Upstreams, name, _)
-            | Self::PutForeign(Topic::Upstreams, name, _)
+            | Self::PutUnreadable(Topic::Upstreams, name, _)
             | Self::Remove(Topic::Upstreams, name) => Some(name),
             _ => None,
         }
@@ -49,15 +49,15 @@
 #[derive(Default)]
 pub(super) struct State {
     pub(super) contents: Contents,
-    /// Watches from before this are told that history is gone.
+    /// Oldest revision from which watches can resume; earlier ones are answered with 410.
     pub(super) history_from: u64,
-    pub(super) log: Vec<(u64, Topic, Value)>,
+    pub(super) change_log: Vec<(u64, Topic, Value)>,
     pub(super) backup: Contents,
     /// Writes by operators and upstreams since the backup.
     pub(super) writes_since_backup: Vec<Write>,
-    /// Writes by operators and upstreams that the last restore lost.
+    /// Writes by operators and upstreams lost in the last restore.
     pub(super) lost_writes: Vec<Write>,
-    /// Number of times the store was restored.
+    /// Number of restores.
     pub(super) era: u64,
     pub(super) fault: StoreFault,
     pub(super) calls: u64,
@@ -68,24 +68,24 @@
         self.contents = self.backup.clone();
         self.lost_writes = std::mem::take(&mut self.writes_since_backup);
         self.history_from = self.contents.revision;
-        self.log.clear();
+        self.change_log.clear();
         self.era += 1;
     }
 
-    /// Applies a write by an operator or an upstream; putting a record that is already stored makes no revision.
+    /// Applies a write by an operator or an upstream. Putting a record that is already stored creates no revision.
     pub(super) fn write(&mut self, write: Write) {
         self.writes_since_backup.push(write.clone());
         match write {
             Write::Put(topic, name, item) if self.is_already_stored(topic, &name, &item) => {}
             Write::Put(topic, name, item) => self.put(topic, name, item),
-            Write::PutForeign(topic, name, record) => self.put_foreign(topic, name, record),
+            Write::PutUnreadable(topic, name, record) => self.put_unreadable(topic, name, record),
             Write::Remove(topic, name) => self.remove(topic, &name),
             Write::LiftQuarantines => self.contents.quarantines.clear(),
         }
     }
 
-    /// Whether putting `item` would change nothing. Of a roll-out that is not over, only the target version and the
-    /// duration are compared; one that is over is always written anew.
+    /// Returns whether putting `item` would change nothing. For a roll-out in progress, only the target version and the
+    /// duration are compared; a finished roll-out is always written again.
     fn is_already_stored(&self, topic: Topic, name: &Name, item: &StoreRecord) -> bool {
         let known = self.contents.records.get(&(topic.name(), name.clone()));
         match (known, item) {
@@ -103,23 +103,24 @@
             order.revision = self.contents.revision;
         }
         let key = (topic.name(), name);
-        self.contents.foreign.remove(&key);
+        self.contents.unreadable.remove(&key);
         self.contents.records.insert(key, item.clone());
-        self.note(topic, &RecordChange::Put(item));
+        self.log_change(topic, &RecordChange::Put(item));
     }
 
-    fn put_foreign(&mut self, topic: Topic, name: Name, record: Value) {
+    fn put_unreadable(&mut self, topic: Topic, name: Name, record: Value) {
         self.contents.revision += 1;
         let key = (topic.name(), name);
         self.contents.records.remove(&key);
-        self.log
+        self.change_log
             .push((self.contents.revision, topic, json!({"put": record})));
-        self.contents.foreign.insert(key, record);
+        self.contents.unreadable.insert(key, record);
     }
 
-    fn note(&mut self, topic: Topic, change: &RecordChange) {
-        let change = serde_json::to_value(change).expect("changes are valid JSON");
-        self.log.push((self.contents.revision, topic, change));
+    fn log_change(&mut self, topic: Topic, change: &RecordChange) {
+        let change = serde_json::to_value(change).expect("changes can be serialized");
+        self.change_log
+            .push((self.contents.revision, topic, change));
     }
 
     fn remove(&mut self, topic: Topic, name: &Name) {
@@ -130,23 +131,23 @@
             .is_some()
         {
             self.contents.revision += 1;
-            self.note(topic, &RecordChange::Gone(name.clone()));
+            self.log_change(topic, &RecordChange::Gone(name.clone()));
         }
     }
 
     pub(super) fn page(&self, topic: Topic) -> RecordPage {
-        let own = self.contents.records.iter();
-        let own = own.map(|(key, item)| {
-            let record = serde_json::to_value(item).expect("records are valid JSON");
+        let readable = self.contents.records.iter();
+        let readable = readable.map(|(key, item)| {
+            let record = serde_json::to_value(item).expect("records can be serialized");
             (key, record)
         });
-        let foreign = self
+        let unreadable = self
             .contents
-            .foreign
+            .unreadable
             .iter()
             .map(|(key, record)| (key, record.clone()));
-        let records = own.chain(foreign);
-        let records = records.filter(|((of, _), _)| *of == topic.name());
+        let records = readable.chain(unreadable);
+        let records = records.filter(|((record_topic, _), _)| *record_topic == topic.name());
         RecordPage {
             records: records.map(|(_, record)| record).collect(),
             next_after: None,
@@ -156,25 +157,25 @@
 
     pub(super) fn changes(&self, topic: Topic, since: u64) -> RecordChanges {
         let newer = self
-            .log
+            .change_log
             .iter()
-            .filter(|(at, of, _)| *at > since && *of == topic);
+            .filter(|(revision, changed_topic, _)| *revision > since && *changed_topic == topic);
         RecordChanges {
             changes: newer.map(|(_, _, change)| change.clone()).collect(),
             revision: self.contents.revision,
         }
     }
 
-    /// Writes a roll-out's state under the revision that the writer saw.
+    /// Updates a roll-out if its revision is the one that the writer last read.
     pub(super) fn write_rollout(
         &mut self,
         order: RolloutOrder,
     ) -> (StatusCode, Option<StoreRecord>) {
         let key = (Topic::Rollouts.name(), order.pool.clone());
-        let Some(StoreRecord::Rollout(now)) = self.contents.records.get(&key) else {
+        let Some(StoreRecord::Rollout(current)) = self.contents.records.get(&key) else {
             return (StatusCode::NOT_FOUND, None);
         };
-        if now.revision != order.revision {
+        if current.revision != order.revision {
             return (
                 StatusCode::CONFLICT,
                 self.contents.records.get(&key).cloned(),
--- a/crates/ivyweir-standins/tests/promises.rs
+++ b/crates/ivyweir-standins/tests/promises.rs
@@ -1,15 +1,15 @@
 //! Tests of the `LimitPromise` check itself: traffic exactly at the limit passes, and one request more is
 //! reported.
 
-use ivyweir_standins::edge::{Arrival, Excess, LimitPromise};
+use ivyweir_standins::edge::{Arrival, RateLimitInvariant, RateLimitViolation};
 
 /// Creates a request from `from` at each of these times; each response states a limit of one request per
 /// second.
 fn arrivals(from: &str, times_ms: &[u64]) -> Vec<Arrival> {
     let arrival = |at_ms: &u64| Arrival {
         at_ms: *at_ms,
-        from: from.into(),
-        names_per_s: Some(1.0),
+        sender: from.into(),
+        advertised_per_s: Some(1.0),
     };
     times_ms.iter().map(arrival).collect()
 }
@@ -30,7 +30,7 @@
     ($($name:ident: $arrivals:expr => $requests:expr;)*) => {$(
         #[test]
         fn $name() {
-            let result = LimitPromise::AGREED.check(&merge_by_time(&$arrivals));
+            let result = RateLimitInvariant::STANDARD.check(&merge_by_time(&$arrivals));
             let requests = result.err().map(|excess| excess.requests);
             assert_eq!(requests, $requests);
         }
@@ -78,20 +78,23 @@
 fn what_is_answered_without_a_limit_is_not_counted() {
     let mut arrivals =
         merge_by_time(&[arrivals("a", &[0]), arrivals("a", &every_10_ms(5_000, 12))]);
-    arrivals[5].names_per_s = None;
-    assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
+    arrivals[5].advertised_per_s = None;
+    assert_eq!(RateLimitInvariant::STANDARD.check(&arrivals), Ok(()));
 }
 
 #[test]
 fn the_highest_limit_of_a_window_counts() {
     let mut arrivals =
         merge_by_time(&[arrivals("a", &[0]), arrivals("a", &every_10_ms(5_000, 14))]);
-    arrivals[5].names_per_s = Some(1.25);
-    let excess = Excess {
+    arrivals[5].advertised_per_s = Some(1.25);
+    let excess = RateLimitViolation {
         at_ms: 5_120,
         requests: 13,
         allowed: 12.5,
     };
-    assert_eq!(LimitPromise::AGREED.check(&arrivals), Err(excess.clone()));
+    assert_eq!(
+        RateLimitInvariant::STANDARD.check(&arrivals),
+        Err(excess.clone())
+    );
     assert_eq!(excess.to_string(), "13 requests at 5120 ms, 12.5 allowed");
 }
