--- a/crates/ivyweird/tests/gateway_soak/main.rs
+++ b/crates/ivyweird/tests/gateway_soak/main.rs
@@ -6,10 +6,10 @@
 //! [`KEPT_SEEDS`].
 
 #[path = "../common/mod.rs"]
-mod callers;
 mod common;
-mod judge;
 
+mod callers;
+mod judge;
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
