--- a/crates/ivyweir-policy/tests/gateway_decisions.rs
+++ b/crates/ivyweir-policy/tests/gateway_decisions.rs
@@ -1,4 +1,5 @@
-//! Decisions of the gateway: routes and keys, upstreams, placing, repeats, model sizes, proof.
+//! Gateway decisions: routing and access keys, fleet state, placement, model escalation, retry budgets,
+//! freshness proofs, work estimates and incarnations.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 };
 use ivyweir_policy::gateway::work::{Tokens, estimate};
 
-/// Time by token of the models in these tests, in milliseconds.
+/// Milliseconds per token of each model, smallest model first.
 const MS_PER_TOKEN: [f64; 3] = [0.005, 0.016, 0.05];
 
 fn route(prefix: &str, anonymous: bool) -> Arc<Route> {
@@ -54,7 +55,7 @@
     })
 }
 
-macro_rules! routes {
+macro_rules! route_cases {
     ($($name:ident: $host:expr, $path:expr => $route:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -65,30 +66,30 @@
     )*};
 }
 
-routes! {
+route_cases! {
     the_longest_prefix_wins: "h", "/a/b/c" => Some("/a/b/");
     a_shorter_one_serves_the_rest: "h", "/a/c" => Some("/a/");
     a_prefix_ends_with_its_slash: "h", "/a" => Some("/");
     another_host_has_no_routes: "other", "/a/" => None;
 }
 
-macro_rules! access {
-    ($($name:ident: $path:expr, $key:expr => $who:expr;)*) => {$(
+macro_rules! access_cases {
+    ($($name:ident: $path:expr, $key:expr => $caller:expr;)*) => {$(
         #[test]
         fn $name() {
             let index = index();
             let route = index.route("h", $path).expect("a route");
-            let who = match index.access(route, $key) {
+            let caller = match index.access(route, $key) {
                 Access::Workspace(workspace) => workspace.name.to_string(),
                 Access::Anonymous => "nobody".into(),
                 Access::Denied => "denied".into(),
             };
-            assert_eq!(who, $who);
+            assert_eq!(caller, $caller);
         }
     )*};
 }
 
-access! {
+access_cases! {
     a_known_key_names_its_workspace: "/x", Some("k") => "w";
     an_unknown_key_is_denied: "/x", Some("guess") => "denied";
     no_key_is_denied: "/x", None => "denied";
@@ -103,7 +104,7 @@
     assert_eq!(first.count(), 900);
 }
 
-/// A record at an address of its own.
+/// Derives the port from the id, so that records have different addresses.
 fn record(id: &str, hall: &str) -> UpstreamRecord {
     let port = 1 + (ivyweir_policy::hash::hash64(&[id.as_bytes()]) % 60_000) as u16;
     UpstreamRecord {
@@ -127,7 +128,7 @@
     }
 }
 
-fn usable(fleet: &Fleet) -> Vec<Name> {
+fn usable_ids(fleet: &Fleet) -> Vec<Name> {
     let mut ids: Vec<Name> = fleet
         .usable("p", |_| true)
         .iter()
@@ -143,7 +144,7 @@
     fleet.put(record("u1", "a"), 0);
     assert_eq!(fleet.put(leaving("u1"), 0), FleetChange::Leaving);
     assert_eq!(fleet.put(record("u1", "a"), 0), FleetChange::Nothing);
-    assert!(usable(&fleet).is_empty());
+    assert!(usable_ids(&fleet).is_empty());
 }
 
 #[test]
@@ -152,11 +153,11 @@
     fleet.put(record("u1", "a"), 0);
     fleet.put(record("u2", "a"), 0);
     fleet.mark_lapsed("u1", 100);
-    assert_eq!(usable(&fleet), ["u2".into()]);
+    assert_eq!(usable_ids(&fleet), ["u2".into()]);
     fleet.mark_lapsed("u2", 200);
-    assert_eq!(usable(&fleet), ["u1".into(), "u2".into()]);
+    assert_eq!(usable_ids(&fleet), ["u1".into(), "u2".into()]);
     fleet.expire_lapsed(1_000, 1_150);
-    assert_eq!(usable(&fleet), ["u2".into()]);
+    assert_eq!(usable_ids(&fleet), ["u2".into()]);
     assert_eq!(fleet.put(record("u2", "a"), 0), FleetChange::Returned);
 }
 
@@ -181,13 +182,17 @@
     }
 }
 
-const LONG: Tokens = Tokens {
+const LONG_PROMPT: Tokens = Tokens {
     shared: 5_000,
     unique: 6_000,
     output: 300,
 };
 
-fn ask(prefix: Option<u64>, tokens: Option<Tokens>, seed: u64) -> PlacementRequest<'static> {
+fn placement_request(
+    prefix: Option<u64>,
+    tokens: Option<Tokens>,
+    seed: u64,
+) -> PlacementRequest<'static> {
     PlacementRequest {
         prefix,
         engine: tokens.map(|tokens| estimate(Some(tokens), MS_PER_TOKEN[0])),
@@ -205,7 +210,11 @@
     let chosen = |seed| {
         let idle = |(n, record)| candidate(record, n as u64, UpstreamLoad::default());
         let candidates: Vec<_> = records.iter().enumerate().map(idle).collect();
-        choose(&candidates, &ask(Some(7), Some(LONG), seed), 0)
+        choose(
+            &candidates,
+            &placement_request(Some(7), Some(LONG_PROMPT), seed),
+            0,
+        )
     };
     let first = chosen(0);
     assert!((0..50).all(|seed| chosen(seed) == first));
@@ -223,7 +232,11 @@
             candidate(record, n as u64, load)
         };
         let candidates: Vec<_> = records.iter().enumerate().map(loaded).collect();
-        choose(&candidates, &ask(Some(7), Some(LONG), seed), 0)
+        choose(
+            &candidates,
+            &placement_request(Some(7), Some(LONG_PROMPT), seed),
+            0,
+        )
     };
     let preferred = chosen(None, 0);
     assert!((0..50).all(|seed| chosen(preferred, seed) != preferred));
@@ -240,7 +253,7 @@
             candidate(&records[0], 1, near),
             candidate(&records[1], 2, far),
         ];
-        choose(&candidates, &ask(None, None, 0), 0)
+        choose(&candidates, &placement_request(None, None, 0), 0)
     };
     assert_eq!(chosen(0), Some(0));
     assert_eq!(chosen(1), Some(0));
@@ -257,7 +270,7 @@
         let near = candidate(&records[0], 1, near.clone());
         choose(
             &[near, candidate(&records[1], 2, far)],
-            &ask(None, None, 0),
+            &placement_request(None, None, 0),
             now_ms,
         )
     };
@@ -265,11 +278,11 @@
     assert_eq!(chosen(500), Some(0));
 }
 
-macro_rules! doubts {
-    ($($name:ident: $confidence:expr, from $model:expr, wait $wait_ms:expr => $larger:expr;)*) => {$(
+macro_rules! escalation_cases {
+    ($($name:ident: $confidence:expr, from $model:expr, wait $wait_ms:expr => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
-            let doubt = EscalationInput {
+            let input = EscalationInput {
                 confidence: $confidence,
                 model: $model,
                 models: 3,
@@ -277,12 +290,12 @@
                 wait_ms: $wait_ms,
                 remaining_ms: 4_000.0,
             };
-            assert_eq!(escalate(&doubt), $larger);
+            assert_eq!(escalate(&input), $expected);
         }
     )*};
 }
 
-doubts! {
+escalation_cases! {
     an_unsure_small_model_gives_way_to_the_largest: Some(20), from 0, wait 0.0 => Some(2);
     a_sure_one_does_not: Some(80), from 0, wait 0.0 => None;
     the_largest_has_the_last_word: Some(0), from 2, wait 0.0 => None;
@@ -296,7 +309,7 @@
 
 #[test]
 fn an_answer_that_is_late_already_is_not_asked_again() {
-    let doubt = EscalationInput {
+    let input = EscalationInput {
         confidence: Some(0),
         model: 0,
         models: 3,
@@ -304,36 +317,55 @@
         wait_ms: 0.0,
         remaining_ms: 0.0,
     };
-    assert_eq!(escalate(&doubt), None);
+    assert_eq!(escalate(&input), None);
 }
 
-const LIMITS: RetryLimits = RetryLimits {
+const RETRY_LIMITS: RetryLimits = RetryLimits {
     ratio: 0.5,
     slack: 1.0,
     fleet_slack: 20.0,
     window_ms: 10_000,
 };
 
-fn taken(budget: &mut RetryBudget, now_ms: u64) -> usize {
+fn retries_granted(budget: &mut RetryBudget, now_ms: u64) -> usize {
     (0..100)
-        .filter(|_| budget.try_take(&LIMITS, None, now_ms))
+        .filter(|_| budget.try_take(&RETRY_LIMITS, None, now_ms))
         .count()
 }
 
 #[test]
 fn repeats_keep_to_their_share_of_a_sliding_window() {
     let mut budget = RetryBudget::default();
-    assert_eq!(taken(&mut budget, 0), 1, "the slack");
-    (0..10).for_each(|_| budget.count_request(&LIMITS, 100));
-    assert_eq!(taken(&mut budget, 200), 5, "half of ten requests");
-    assert_eq!(taken(&mut budget, 9_000), 0, "still in the window");
-    assert_eq!(taken(&mut budget, 25_000), 1, "the slack again");
+    assert_eq!(
+        retries_granted(&mut budget, 0),
+        1,
+        "only the slack without requests"
+    );
+    (0..10).for_each(|_| budget.count_request(&RETRY_LIMITS, 100));
+    assert_eq!(
+        retries_granted(&mut budget, 200),
+        5,
+        "ratio 0.5 of ten requests"
+    );
+    assert_eq!(
+        retries_granted(&mut budget, 9_000),
+        0,
+        "the requests are still in the window"
+    );
+    assert_eq!(
+        retries_granted(&mut budget, 25_000),
+        1,
+        "only the slack after the window"
+    );
 }
 
 #[test]
 fn a_proof_never_grows_older_by_an_older_answer() {
     let mut proof = FreshnessProof::default();
-    assert!(!proof.is_younger_than(1_000, 0), "no proof is none");
+    assert!(
+        !proof.is_younger_than(1_000, 0),
+        "no proof was received yet"
+    );
     proof.renew(5_000);
     proof.renew(3_000);
     assert_eq!(proof.age_ms(6_000), Some(1_000));
@@ -355,13 +387,13 @@
 #[test]
 fn the_same_proof_told_again_is_not_a_newer_one() {
     let mut proof = FreshnessProof::default();
-    assert!(proof.is_superseded_by(-400), "there was none");
+    assert!(proof.is_superseded_by(-400), "no proof was received yet");
     proof.renew(-400);
     assert!(!proof.is_superseded_by(-500));
     assert!(!proof.is_superseded_by(-400));
     assert!(
         !proof.is_superseded_by(-380),
-        "the way of the question differs"
+        "20 ms is within the tolerance for request latency"
     );
     assert!(proof.is_superseded_by(-350));
 }
@@ -381,9 +413,9 @@
         output: 100,
     };
     let rank = |tokens, model| estimate(Some(tokens), MS_PER_TOKEN[model]).rank();
-    assert!(rank(short, 0) < rank(LONG, 0));
-    assert!(rank(LONG, 0) < rank(LONG, 2));
-    assert!(rank(LONG, 2) <= 9);
+    assert!(rank(short, 0) < rank(LONG_PROMPT, 0));
+    assert!(rank(LONG_PROMPT, 0) < rank(LONG_PROMPT, 2));
+    assert!(rank(LONG_PROMPT, 2) <= 9);
 }
 
 #[test]
@@ -393,22 +425,22 @@
     let idle: Vec<_> = numbered
         .map(|(r, n)| candidate(r, n, UpstreamLoad::default()))
         .collect();
-    let mut next = std::collections::HashMap::<usize, usize>::new();
-    for request in 0..43 {
-        let apart = Some(ivyweir_policy::hash::hash64(&[&[request]]));
-        let ask = PlacementRequest {
-            isolation_hash: apart,
-            ..ask(None, Some(LONG), 0)
+    let mut placed = std::collections::HashMap::<usize, usize>::new();
+    for request_number in 0..43 {
+        let isolation_hash = Some(ivyweir_policy::hash::hash64(&[&[request_number]]));
+        let request = PlacementRequest {
+            isolation_hash,
+            ..placement_request(None, Some(LONG_PROMPT), 0)
         };
-        let chosen = choose(&idle, &ask, 0).expect("one");
-        assert_eq!(choose(&idle, &ask, 0), Some(chosen));
-        *next.entry(chosen).or_default() += 1;
+        let chosen = choose(&idle, &request, 0).expect("one");
+        assert_eq!(choose(&idle, &request, 0), Some(chosen));
+        *placed.entry(chosen).or_default() += 1;
     }
-    assert!(next.values().all(|together| *together <= 7), "{next:?}");
+    assert!(placed.values().all(|count| *count <= 7), "{placed:?}");
 }
 
-/// The incarnation of `u` that started at this time, by its clock.
-fn started(started_at_ms: u64) -> UpstreamRecord {
+/// Record of the incarnation of `u` whose own clock read `started_at_ms` at its start.
+fn incarnation(started_at_ms: u64) -> UpstreamRecord {
     UpstreamRecord {
         registered_as: Some("u".into()),
         addr: record("u", "a").addr,
@@ -416,14 +448,14 @@
     }
 }
 
-fn ending(started_at_ms: u64) -> UpstreamRecord {
+fn leaving_incarnation(started_at_ms: u64) -> UpstreamRecord {
     UpstreamRecord {
         is_leaving: true,
-        ..started(started_at_ms)
+        ..incarnation(started_at_ms)
     }
 }
 
-macro_rules! incarnations {
+macro_rules! incarnation_cases {
     ($($name:ident: $records:expr => usable $usable:expr, replaced $replaced:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -431,40 +463,40 @@
             for record in $records {
                 fleet.put(record, 0);
             }
-            assert_eq!(usable(&fleet), $usable as [Name; _]);
+            assert_eq!(usable_ids(&fleet), $usable as [Name; _]);
             let replaced: Vec<Name> = fleet.take_replaced().iter().map(|r| r.id.clone()).collect();
             assert_eq!(replaced, $replaced as [Name; _]);
         }
     )*};
 }
 
-incarnations! {
-    another_start_is_another_upstream: [started(5), started(9)] => usable ["u@9".into()], replaced ["u@5".into()];
-    the_order_is_the_registrys_since_clocks_step: [started(9), started(5)] => usable ["u@5".into()], replaced ["u@9".into()];
-    an_old_record_does_not_bring_the_old_one_back: [started(5), started(9), started(5)] => usable ["u@9".into()], replaced ["u@5".into()];
-    twice_in_a_row: [started(5), started(6), started(7)] => usable ["u@7".into()], replaced ["u@5".into(), "u@6".into()];
-    after_a_notice_that_it_leaves: [started(5), ending(5), started(9)] => usable ["u@9".into()], replaced [];
-    a_late_notice_of_the_old_one: [started(5), started(9), ending(5)] => usable ["u@9".into()], replaced ["u@5".into()];
-    one_that_starts_leaving: [started(5), ending(9)] => usable [], replaced ["u@5".into()];
+incarnation_cases! {
+    another_start_is_another_upstream: [incarnation(5), incarnation(9)] => usable ["u@9".into()], replaced ["u@5".into()];
+    the_order_is_the_registrys_since_clocks_step: [incarnation(9), incarnation(5)] => usable ["u@5".into()], replaced ["u@9".into()];
+    an_old_record_does_not_bring_the_old_one_back: [incarnation(5), incarnation(9), incarnation(5)] => usable ["u@9".into()], replaced ["u@5".into()];
+    twice_in_a_row: [incarnation(5), incarnation(6), incarnation(7)] => usable ["u@7".into()], replaced ["u@5".into(), "u@6".into()];
+    after_a_notice_that_it_leaves: [incarnation(5), leaving_incarnation(5), incarnation(9)] => usable ["u@9".into()], replaced [];
+    a_late_notice_of_the_old_one: [incarnation(5), incarnation(9), leaving_incarnation(5)] => usable ["u@9".into()], replaced ["u@5".into()];
+    one_that_starts_leaving: [incarnation(5), leaving_incarnation(9)] => usable [], replaced ["u@5".into()];
 }
 
 #[test]
 fn the_registry_takes_out_whichever_incarnation_has_the_name() {
     let mut fleet = Fleet::default();
-    fleet.put(started(5), 0);
-    fleet.put(started(9), 0);
+    fleet.put(incarnation(5), 0);
+    fleet.put(incarnation(9), 0);
     assert_eq!(fleet.mark_lapsed("u", 10), FleetChange::Lapsed);
     fleet.expire_lapsed(0, 10);
-    assert!(usable(&fleet).is_empty());
-    // Forgotten, it is still the earlier one of the next.
-    fleet.put(started(12), 20);
-    fleet.put(started(9), 30);
-    assert_eq!(usable(&fleet), ["u@12".into()]);
+    assert!(usable_ids(&fleet).is_empty());
+    // The expired incarnation `u@9` still counts as a predecessor of `u@12`.
+    fleet.put(incarnation(12), 20);
+    fleet.put(incarnation(9), 30);
+    assert_eq!(usable_ids(&fleet), ["u@12".into()]);
 }
 
-fn at(id: &str, like: &str) -> UpstreamRecord {
+fn record_at_address_of(id: &str, address_owner: &str) -> UpstreamRecord {
     UpstreamRecord {
-        addr: record(like, "a").addr,
+        addr: record(address_owner, "a").addr,
         ..record(id, "a")
     }
 }
@@ -473,19 +505,19 @@
 fn a_record_at_another_ones_address_is_used_only_once_that_is_gone() {
     let mut fleet = Fleet::default();
     fleet.put(record("own", "a"), 0);
-    fleet.put(at("foreign", "own"), 0);
-    fleet.put(at("next", "own"), 0);
-    assert_eq!(usable(&fleet), ["own".into()]);
-    // Written anew it is still the first one there.
+    fleet.put(record_at_address_of("foreign", "own"), 0);
+    fleet.put(record_at_address_of("next", "own"), 0);
+    assert_eq!(usable_ids(&fleet), ["own".into()]);
+    // Writing the record again does not lose its precedence at the address.
     fleet.put(record("own", "a"), 5);
-    assert_eq!(usable(&fleet), ["own".into()]);
+    assert_eq!(usable_ids(&fleet), ["own".into()]);
     fleet.mark_lapsed("own", 10);
-    assert_eq!(usable(&fleet), ["foreign".into()]);
+    assert_eq!(usable_ids(&fleet), ["foreign".into()]);
     fleet.mark_left(&"foreign".into());
-    assert_eq!(usable(&fleet), ["next".into()]);
+    assert_eq!(usable_ids(&fleet), ["next".into()]);
     fleet.put(record("next", "a"), 20);
     fleet.put(record("own", "a"), 20);
-    assert_eq!(usable(&fleet), ["next".into(), "own".into()]);
+    assert_eq!(usable_ids(&fleet), ["next".into(), "own".into()]);
 }
 
 #[test]
@@ -493,25 +525,25 @@
     let mut fleet = Fleet::default();
     let foreign = UpstreamRecord {
         pool: "nobody's".into(),
-        ..at("a-foreign", "own")
+        ..record_at_address_of("a-foreign", "own")
     };
     fleet.put(foreign, 0);
     fleet.put(record("own", "a"), 0);
-    assert_eq!(usable(&fleet), ["own".into()]);
+    assert_eq!(usable_ids(&fleet), ["own".into()]);
 }
 
 #[test]
 fn a_record_without_a_start_is_not_used_where_most_tell_theirs() {
     let mut fleet = Fleet::default();
     fleet.put(record("untold", "a"), 0);
-    assert_eq!(usable(&fleet), ["untold".into()]);
+    assert_eq!(usable_ids(&fleet), ["untold".into()]);
     for n in 0..2 {
         let name = format!("u{n}");
-        let told = UpstreamRecord {
+        let incarnation = UpstreamRecord {
             registered_as: Some(name.as_str().into()),
             ..record(&UpstreamRecord::incarnation_id(&name, 7), "a")
         };
-        fleet.put(told, 0);
+        fleet.put(incarnation, 0);
     }
-    assert_eq!(usable(&fleet), ["u0@7".into(), "u1@7".into()]);
+    assert_eq!(usable_ids(&fleet), ["u0@7".into(), "u1@7".into()]);
 }
