--- a/crates/ivyweir-policy/tests/gateway_duties.rs
+++ b/crates/ivyweir-policy/tests/gateway_duties.rs
@@ -1,6 +1,6 @@
-//! Who holds the duties, judged by the calls that reach the platform: boxes that are killed, suspended or cut
-//! off, a store that refuses, is silent, or does a write seconds after its answer was lost, and several boxes that
-//! want the duties at once.
+//! Mutual exclusion of the duty lease, checked on the calls that reach the platform. Boxes are killed, suspended,
+//! cut off from the store or compete for the duties; the store rejects calls, does not respond, applies a write
+//! seconds after losing its response, or is restored from a backup.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-const TERMS: LeaseConfig = LeaseConfig {
+const LEASE_CONFIG: LeaseConfig = LeaseConfig {
     lease_ms: 3_000,
     call_ms: 1_000,
 };
 const STEP_MS: u64 = 50;
-/// Time for which a box that was suspended is excused.
-const THAW_MS: u64 = 300;
+/// Time after the end of a suspension in which the calls of a box are excused.
+const RESUME_GRACE_MS: u64 = 300;
 
-/// A write that the store has taken and will do at this time, if its condition holds then.
-struct Write {
+/// A write that the store applies at `at_ms` if its revision condition holds then.
+struct PendingWrite {
     at_ms: u64,
     record: DutyRecord,
     revision: Option<u64>,
@@ -30,7 +30,7 @@
 struct Store {
     stored: Option<StoredDuties>,
     revision: u64,
-    late: Vec<Write>,
+    pending_writes: Vec<PendingWrite>,
     era: u64,
     backup: (Option<StoredDuties>, u64),
 }
@@ -53,89 +53,90 @@
         self.era += 1;
     }
 
-    fn do_late(&mut self, now_ms: u64) {
-        let open = std::mem::take(&mut self.late).into_iter();
-        let (due, late): (Vec<Write>, Vec<Write>) = open.partition(|write| write.at_ms <= now_ms);
-        self.late = late;
+    fn apply_due_writes(&mut self, now_ms: u64) {
+        let writes = std::mem::take(&mut self.pending_writes).into_iter();
+        let (due, pending): (Vec<PendingWrite>, Vec<PendingWrite>) =
+            writes.partition(|write| write.at_ms <= now_ms);
+        self.pending_writes = pending;
         for write in due {
             self.write(write.record, write.revision);
         }
     }
 }
 
-/// How the store treats a box.
+/// Response of the store to the calls of a box.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    Sound,
-    /// It does nothing, and says so or not.
-    Refuses,
-    /// It does what it is asked at once or seconds later, and its answer is lost.
-    LosesAnswers,
+enum StoreBehavior {
+    Normal,
+    /// Applies nothing, with or without an error response.
+    Rejects,
+    /// Applies writes at once or up to 6 s later and loses every response.
+    LosesResponses,
 }
 
 struct SimBox {
     number: usize,
-    runs: u64,
+    run: u64,
     lease: Lease,
-    wants: bool,
-    way: Way,
+    wants_duties: bool,
+    store_behavior: StoreBehavior,
     suspended_until_ms: u64,
-    dead_until_ms: u64,
-    sends_at_ms: u64,
+    down_until_ms: u64,
+    next_call_ms: u64,
 }
 
 impl SimBox {
     fn new(number: usize) -> Self {
         Self {
             number,
-            runs: 0,
+            run: 0,
             lease: lease(number, 0),
-            wants: false,
-            way: Way::Sound,
+            wants_duties: false,
+            store_behavior: StoreBehavior::Normal,
             suspended_until_ms: 0,
-            dead_until_ms: 0,
-            sends_at_ms: 0,
+            down_until_ms: 0,
+            next_call_ms: 0,
         }
     }
 
-    fn restart(&mut self, dead_until_ms: u64) {
-        self.runs += 1;
-        self.lease = lease(self.number, self.runs);
-        self.dead_until_ms = dead_until_ms;
+    fn restart(&mut self, down_until_ms: u64) {
+        self.run += 1;
+        self.lease = lease(self.number, self.run);
+        self.down_until_ms = down_until_ms;
     }
 
-    fn runs_at(&self, now_ms: u64) -> bool {
-        now_ms >= self.suspended_until_ms && now_ms >= self.dead_until_ms
+    fn is_running_at(&self, now_ms: u64) -> bool {
+        now_ms >= self.suspended_until_ms && now_ms >= self.down_until_ms
     }
 
-    /// Asks the store what is to be asked now; what the box hears of it.
-    fn ask(&mut self, store: &mut Store, now_ms: u64, rng: &mut StdRng) {
+    /// Makes the store call that the lease requires now and passes the response to the lease.
+    fn call_store(&mut self, store: &mut Store, now_ms: u64, rng: &mut StdRng) {
         let write = match self.lease.step(now_ms) {
             LeaseStep::Wait => return,
             LeaseStep::Read => None,
             LeaseStep::TakeOver | LeaseStep::Held => Some(self.lease.write(now_ms, |_| {})),
         };
-        match (self.way, write) {
-            (Way::Refuses, _) => return,
-            (Way::LosesAnswers, Some((record, revision))) => {
+        match (self.store_behavior, write) {
+            (StoreBehavior::Rejects, _) => return,
+            (StoreBehavior::LosesResponses, Some((record, revision))) => {
                 let at_ms = now_ms + rng.random_range(0..6_000);
-                store.late.push(Write {
+                store.pending_writes.push(PendingWrite {
                     at_ms,
                     record,
                     revision,
                 });
                 return;
             }
-            (Way::LosesAnswers, None) => return,
-            (Way::Sound, Some((record, revision))) => store.write(record, revision),
-            (Way::Sound, None) => {}
+            (StoreBehavior::LosesResponses, None) => return,
+            (StoreBehavior::Normal, Some((record, revision))) => store.write(record, revision),
+            (StoreBehavior::Normal, None) => {}
         }
         self.lease.observe(store.stored.clone(), store.era, now_ms);
     }
 }
 
 fn lease(number: usize, run: u64) -> Lease {
-    Lease::new(format!("box-{number}").into(), run, TERMS)
+    Lease::new(format!("box-{number}").into(), run, LEASE_CONFIG)
 }
 
 /// How often the simulated store is restored from a backup.
@@ -145,14 +146,21 @@
     Random,
 }
 
-struct Run {
+struct SimulationResult {
     calls: Vec<DutyCall>,
-    holders: usize,
+    holder_count: usize,
     last_call_ms: u64,
 }
 
-/// Plays boxes that want the duties by turns, mostly one and at times several, and all troubles until `calm_ms`.
-fn play(boxes: usize, seed: u64, calm_ms: u64, end_ms: u64, restores: Restores) -> Run {
+/// Simulates boxes that want the duties in turn, usually one and sometimes several at a time. Faults are
+/// injected until `faults_end_ms`.
+fn simulate(
+    boxes: usize,
+    seed: u64,
+    faults_end_ms: u64,
+    end_ms: u64,
+    restores: Restores,
+) -> SimulationResult {
     let mut rng = StdRng::seed_from_u64(seed);
     // A separate generator keeps the other draws of a seed the same with and without restores.
     let mut restore_rng = StdRng::seed_from_u64(seed);
@@ -160,8 +168,8 @@
     let mut fleet: Vec<SimBox> = (0..boxes).map(SimBox::new).collect();
     let mut calls: BTreeMap<(u64, usize), DutyCall> = BTreeMap::new();
     for now_ms in (0..end_ms).step_by(STEP_MS as usize) {
-        store.do_late(now_ms);
-        if restores == Restores::Random && now_ms < calm_ms && now_ms.is_multiple_of(500) {
+        store.apply_due_writes(now_ms);
+        if restores == Restores::Random && now_ms < faults_end_ms && now_ms.is_multiple_of(500) {
             match restore_rng.random_range(0..20) {
                 0 => store.restore(),
                 1..8 => store.back_up(),
@@ -169,46 +177,46 @@
             }
         }
         if now_ms.is_multiple_of(2_000) {
-            let is_calm = now_ms >= calm_ms;
+            let faults_ended = now_ms >= faults_end_ms;
             for sim in &mut fleet {
-                sim.wants = rng.random_bool(if is_calm { 0.0 } else { 0.05 });
-                sim.way = match rng.random_range(0..8) {
-                    _ if is_calm => Way::Sound,
-                    0 => Way::Refuses,
-                    1 => Way::LosesAnswers,
-                    _ => Way::Sound,
+                sim.wants_duties = rng.random_bool(if faults_ended { 0.0 } else { 0.05 });
+                sim.store_behavior = match rng.random_range(0..8) {
+                    _ if faults_ended => StoreBehavior::Normal,
+                    0 => StoreBehavior::Rejects,
+                    1 => StoreBehavior::LosesResponses,
+                    _ => StoreBehavior::Normal,
                 };
-                if !is_calm && rng.random_bool(0.08) {
+                if !faults_ended && rng.random_bool(0.08) {
                     sim.suspended_until_ms = now_ms + rng.random_range(100..8_000);
                 }
-                if !is_calm && rng.random_bool(0.08) {
+                if !faults_ended && rng.random_bool(0.08) {
                     sim.restart(now_ms + rng.random_range(100..3_000));
                 }
             }
             let first = rng.random_range(0..boxes.min(4));
-            fleet[if is_calm { 0 } else { first }].wants = true;
+            fleet[if faults_ended { 0 } else { first }].wants_duties = true;
         }
         for sim in &mut fleet {
-            if !sim.wants || !sim.runs_at(now_ms) {
+            if !sim.wants_duties || !sim.is_running_at(now_ms) {
                 continue;
             }
             if let Some(fence) = sim.lease.fence(now_ms)
-                && now_ms >= sim.sends_at_ms
+                && now_ms >= sim.next_call_ms
             {
-                sim.sends_at_ms = now_ms + 400;
-                let at_ms = now_ms + rng.random_range(0..TERMS.call_ms);
+                sim.next_call_ms = now_ms + 400;
+                let at_ms = now_ms + rng.random_range(0..LEASE_CONFIG.call_ms);
                 let call = DutyCall {
                     at_ms,
                     from: format!("box-{}", sim.number).into(),
                     fence,
                     subject: "usage".into(),
                     report: None,
-                    is_excused: now_ms < sim.suspended_until_ms + THAW_MS,
+                    is_excused: now_ms < sim.suspended_until_ms + RESUME_GRACE_MS,
                 };
                 calls.insert((at_ms, calls.len()), call);
             }
             if now_ms.is_multiple_of(500) || sim.lease.step(now_ms) == LeaseStep::TakeOver {
-                sim.ask(&mut store, now_ms, &mut rng);
+                sim.call_store(&mut store, now_ms, &mut rng);
             }
         }
     }
@@ -216,33 +224,33 @@
     let mut holders: Vec<&str> = calls.iter().map(|call| &*call.from).collect();
     holders.sort_unstable();
     holders.dedup();
-    Run {
-        holders: holders.len(),
+    SimulationResult {
+        holder_count: holders.len(),
         last_call_ms: calls.last().map_or(0, |call| call.at_ms),
         calls,
     }
 }
 
-macro_rules! fleets {
+macro_rules! exclusion_cases {
     ($($name:ident: $boxes:expr, seeds $seeds:expr, $restores:expr;)*) => {$(
         #[test]
         fn $name() {
-            let promise = DutyPromise { lease_ms: TERMS.lease_ms };
+            let promise = DutyPromise { lease_ms: LEASE_CONFIG.lease_ms };
             let mut holders = 0;
             for seed in $seeds {
-                let run = play($boxes, seed, 90_000, 110_000, $restores);
-                if let Err(breach) = promise.check(&run.calls) {
-                    panic!("seed {seed}: {breach}");
+                let result = simulate($boxes, seed, 90_000, 110_000, $restores);
+                if let Err(violation) = promise.check(&result.calls) {
+                    panic!("seed {seed}: {violation}");
                 }
-                assert!(run.last_call_ms > 105_000, "seed {seed}: nobody holds the duties");
-                holders += run.holders;
+                assert!(result.last_call_ms > 105_000, "seed {seed}: no box holds the duties");
+                holders += result.holder_count;
             }
             assert!(holders > $seeds.count(), "the duties never changed hands");
         }
     )*};
 }
 
-fleets! {
+exclusion_cases! {
     two_boxes_never_hold_the_duties_at_once: 2, seeds 0..200_u64, Restores::Never;
     nor_do_nine: 9, seeds 0..100_u64, Restores::Never;
     nor_do_eighty: 80, seeds 0..12_u64, Restores::Never;
@@ -283,8 +291,8 @@
     assert_eq!(lease.fence(9_901), None);
 }
 
-/// The store did the write and its answer was lost. The lease counts from when the write was first asked for, and
-/// until the write is found nothing else is written in its place.
+/// Guards against a lost response to a write that the store applied. The lease runs from the first attempt, and no
+/// other record is written until that write is found in the store.
 #[test]
 fn a_write_whose_answer_was_lost_is_asked_for_again_as_it_was() {
     let mut lease = lease(0, 0);
@@ -323,7 +331,7 @@
     lease.invalidate();
     assert_eq!(lease.step(20), LeaseStep::Read);
     assert_eq!(lease.fence(20), None);
-    // Somebody removed the record meanwhile: no fence is given twice.
+    // The record was deleted in the meantime; a fence is still never issued twice.
     lease.observe(None, 0, 30);
     assert_eq!(lease.write(40, |_| {}).0.fence, 2);
 }
@@ -339,7 +347,7 @@
     lease
 }
 
-macro_rules! restored_records {
+macro_rules! restore_cases {
     ($($name:ident: $restored:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -349,14 +357,14 @@
             assert_eq!(lease.step(8_500), LeaseStep::TakeOver);
             let (taken, _) = lease.write(8_500, |_| {});
             assert!(taken.fence > 1 << 32, "the fence is not from the current era");
-            assert_eq!(taken.fixed_window, Some(8), "the lost window is not written back");
+            assert_eq!(taken.fixed_window, Some(8), "the lost window was not written back");
             lease.observe(stored(taken, 6), 1, 8_510);
             assert_eq!(lease.step(8_510), LeaseStep::Held);
         }
     )*};
 }
 
-restored_records! {
+restore_cases! {
     a_holder_whose_record_was_lost_waits: None;
     a_holder_whose_record_was_reverted_waits: stored(record("box-0", 2), 5);
     a_holder_whose_record_was_replaced_by_an_earlier_holders_waits: stored(record("other", 3), 4);
