--- a/crates/ivyweir-policy/tests/gateway_supply.rs
+++ b/crates/ivyweir-policy/tests/gateway_supply.rs
@@ -1,4 +1,4 @@
-//! Orders of upstreams, played against a platform that starts and ends them, and takes spot ones away.
+//! Scaling orders, simulated against a platform that starts and stops upstreams and reclaims spot upstreams.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -11,8 +11,8 @@
 const BOOT_MS: u64 = 4_000;
 const SLOTS: u32 = 16;
 const STEP_MS: u64 = 250;
-/// Upstreams of each hall at the start.
-const FIRST: u32 = 35;
+/// Number of upstreams per hall at the start.
+const INITIAL_PER_HALL: u32 = 35;
 
 fn scaling(spot_price: Option<f64>) -> Scaling {
     Scaling {
@@ -24,14 +24,14 @@
     }
 }
 
-/// A platform with upstreams, and the orders that wait for their time.
+/// Simulated platform with its upstreams and the orders that take effect after the boot time.
 struct Platform {
-    supply: HashMap<Name, HallCapacity>,
+    capacity: HashMap<Name, HallCapacity>,
     starting: VecDeque<(u64, UpstreamOrder)>,
     orders: Vec<UpstreamOrder>,
-    given: usize,
-    /// Halls that have no spot upstream to give until then.
-    dry: HashMap<Name, u64>,
+    order_count: usize,
+    /// Time until which a hall has no spot capacity.
+    no_spot_until_ms: HashMap<Name, u64>,
     scaling: Scaling,
     drained: Vec<Name>,
     is_rolling_out: bool,
@@ -40,16 +40,19 @@
 
 impl Platform {
     fn new(spot_price: Option<f64>) -> Self {
-        let all = HallCapacity {
-            on_demand: FIRST,
+        let initial = HallCapacity {
+            on_demand: INITIAL_PER_HALL,
             spot: 0,
         };
         Self {
-            supply: HALLS.iter().map(|hall| (Name::from(*hall), all)).collect(),
+            capacity: HALLS
+                .iter()
+                .map(|hall| (Name::from(*hall), initial))
+                .collect(),
             starting: VecDeque::new(),
             orders: Vec::new(),
-            given: 0,
-            dry: HashMap::new(),
+            order_count: 0,
+            no_spot_until_ms: HashMap::new(),
             scaling: scaling(spot_price),
             drained: Vec::new(),
             is_rolling_out: false,
@@ -57,12 +60,12 @@
         }
     }
 
-    fn serving(&self) -> u32 {
-        self.supply.values().map(|s| s.on_demand + s.spot).sum()
+    fn serving_count(&self) -> u32 {
+        self.capacity.values().map(|s| s.on_demand + s.spot).sum()
     }
 
-    fn lasting(&self) -> u32 {
-        self.supply.values().map(|s| s.on_demand).sum()
+    fn on_demand_count(&self) -> u32 {
+        self.capacity.values().map(|s| s.on_demand).sum()
     }
 
     fn step(&mut self, running: Option<f64>, now_ms: u64) {
@@ -74,11 +77,11 @@
             let Some((_, order)) = self.starting.pop_front() else {
                 break;
             };
-            let of_hall = self.supply.entry(order.hall.clone()).or_default();
+            let hall_capacity = self.capacity.entry(order.hall.clone()).or_default();
             let count = if order.is_spot {
-                &mut of_hall.spot
+                &mut hall_capacity.spot
             } else {
-                &mut of_hall.on_demand
+                &mut hall_capacity.on_demand
             };
             *count = order.count.max(*count);
         }
@@ -88,23 +91,23 @@
             scaling: &self.scaling,
             drained_halls: &self.drained,
             is_rolling_out: self.is_rolling_out,
-            capacity: self.supply.clone(),
+            capacity: self.capacity.clone(),
             slots: SLOTS,
             running,
             orders: &self.orders,
         };
         for order in self.planner.plan(&view, now_ms) {
-            self.take(order, now_ms);
+            self.place_order(order, now_ms);
         }
     }
 
-    fn take(&mut self, order: UpstreamOrder, now_ms: u64) {
-        self.given += 1;
-        let is_dry = self
-            .dry
+    fn place_order(&mut self, order: UpstreamOrder, now_ms: u64) {
+        self.order_count += 1;
+        let has_no_spot = self
+            .no_spot_until_ms
             .get(&order.hall)
             .is_some_and(|until_ms| now_ms < *until_ms);
-        if order.is_spot && is_dry {
+        if order.is_spot && has_no_spot {
             self.planner.record_refusal(&order, now_ms);
             return;
         }
@@ -112,172 +115,198 @@
         self.starting
             .retain(|(_, known)| !known.has_same_scope(&order));
         self.orders.push(order.clone());
-        let of_hall = self.supply.entry(order.hall.clone()).or_default();
+        let hall_capacity = self.capacity.entry(order.hall.clone()).or_default();
         let count = if order.is_spot {
-            &mut of_hall.spot
+            &mut hall_capacity.spot
         } else {
-            &mut of_hall.on_demand
+            &mut hall_capacity.on_demand
         };
         *count = order.count.min(*count);
         self.starting.push_back((now_ms + BOOT_MS, order));
     }
 
-    /// The platform takes all spot upstreams of a hall.
-    fn reclaim(&mut self, hall: &str, until_ms: u64) {
-        self.supply.entry(hall.into()).or_default().spot = 0;
+    /// Reclaims all spot upstreams of a hall; it has no spot capacity until `until_ms`.
+    fn reclaim_spot(&mut self, hall: &str, until_ms: u64) {
+        self.capacity.entry(hall.into()).or_default().spot = 0;
         self.starting
             .retain(|(_, order)| &*order.hall != hall || !order.is_spot);
-        self.dry.insert(hall.into(), until_ms);
+        self.no_spot_until_ms.insert(hall.into(), until_ms);
     }
 
-    fn play(&mut self, span_ms: std::ops::Range<u64>, running: impl Fn(u64) -> Option<f64>) -> u32 {
-        let mut least = u32::MAX;
-        for now_ms in span_ms.step_by(STEP_MS as usize) {
+    fn simulate(
+        &mut self,
+        period_ms: std::ops::Range<u64>,
+        running: impl Fn(u64) -> Option<f64>,
+    ) -> u32 {
+        let mut min_serving = u32::MAX;
+        for now_ms in period_ms.step_by(STEP_MS as usize) {
             self.step(running(now_ms), now_ms);
-            least = least.min(self.serving());
+            min_serving = min_serving.min(self.serving_count());
         }
-        least
+        min_serving
     }
 }
 
-/// Upstreams that a demand needs at full use of their slots.
-fn at_least(running: f64) -> u32 {
+/// Number of upstreams that serve `running` requests with all slots in use.
+fn upstreams_needed(running: f64) -> u32 {
     (running / f64::from(SLOTS)).ceil() as u32
 }
 
-/// What callers saw: most requests of the first seconds refused. Order of events: the holder started before the
-/// upstreams had registered, saw one of them and ordered one for each hall; the platform ended all others.
+/// Guards against refused requests in the first seconds: a holder that started before the upstreams had registered
+/// saw one of them and ordered one per hall, so the platform stopped all others.
 #[test]
 fn before_any_work_is_seen_nothing_is_ordered() {
     let mut platform = Platform::new(Some(0.2));
-    let all = std::mem::take(&mut platform.supply);
-    platform.play(0..1_000, |_| Some(0.0));
-    platform.supply = all;
-    let least = platform.play(1_000..30_000, |_| Some(0.0));
-    assert_eq!((least, platform.given), (FIRST * 4, 0));
+    let registered = std::mem::take(&mut platform.capacity);
+    platform.simulate(0..1_000, |_| Some(0.0));
+    platform.capacity = registered;
+    let min_serving = platform.simulate(1_000..30_000, |_| Some(0.0));
+    assert_eq!(
+        (min_serving, platform.order_count),
+        (INITIAL_PER_HALL * 4, 0)
+    );
 }
 
 #[test]
 fn a_holder_that_hears_nothing_orders_nothing_down() {
     let mut platform = Platform::new(None);
-    let least = platform.play(0..60_000, |_| None);
-    assert_eq!((least, platform.lasting()), (FIRST * 4, FIRST * 4));
+    let min_serving = platform.simulate(0..60_000, |_| None);
+    assert_eq!(
+        (min_serving, platform.on_demand_count()),
+        (INITIAL_PER_HALL * 4, INITIAL_PER_HALL * 4)
+    );
 }
 
-/// A holder that is cut off from other halls for a while hears a part of the work when it is back.
+/// After a partition from other halls, the holder at first receives only part of the load reports.
 #[test]
 fn a_holder_that_was_cut_off_waits_before_it_orders_again() {
     let mut platform = Platform::new(Some(0.2));
-    platform.play(0..40_000, |_| Some(200.0));
-    let (before, given) = (platform.serving(), platform.given);
-    platform.play(40_000..65_000, |_| None);
-    let least = platform.play(65_000..68_500, |_| Some(20.0));
-    assert_eq!((least, platform.given), (before, given));
+    platform.simulate(0..40_000, |_| Some(200.0));
+    let (before, order_count) = (platform.serving_count(), platform.order_count);
+    platform.simulate(40_000..65_000, |_| None);
+    let min_serving = platform.simulate(65_000..68_500, |_| Some(20.0));
+    assert_eq!((min_serving, platform.order_count), (before, order_count));
 }
 
 #[test]
 fn spot_upstreams_replace_others_once_they_serve() {
     let mut platform = Platform::new(Some(0.2));
-    let least = platform.play(0..60_000, |_| Some(200.0));
+    let min_serving = platform.simulate(0..60_000, |_| Some(200.0));
+    assert!(
+        platform.on_demand_count() <= 16,
+        "{} on-demand upstreams",
+        platform.on_demand_count()
+    );
     assert!(
-        platform.lasting() <= 16,
-        "{} are not spot",
-        platform.lasting()
+        min_serving >= upstreams_needed(200.0) * 2,
+        "{min_serving} upstreams"
     );
-    assert!(least >= at_least(200.0) * 2, "{least} upstreams");
     assert!(
-        platform.serving() < FIRST * 4,
-        "{} serve",
-        platform.serving()
+        platform.serving_count() < INITIAL_PER_HALL * 4,
+        "{} upstreams",
+        platform.serving_count()
     );
 }
 
 #[test]
 fn without_spot_upstreams_the_pool_shrinks_to_its_work() {
     let mut platform = Platform::new(None);
-    platform.play(0..60_000, |_| Some(100.0));
-    let served = platform.serving();
+    platform.simulate(0..60_000, |_| Some(100.0));
+    let serving = platform.serving_count();
     assert!(
-        (at_least(100.0) * 2..FIRST * 4 / 2).contains(&served),
-        "{served}"
+        (upstreams_needed(100.0) * 2..INITIAL_PER_HALL * 4 / 2).contains(&serving),
+        "{serving}"
     );
 }
 
 #[test]
 fn the_loss_of_a_halls_spot_upstreams_leaves_enough() {
     let mut platform = Platform::new(Some(0.2));
-    platform.play(0..40_000, |_| Some(200.0));
-    platform.reclaim("b", 50_000);
-    let left = platform.serving();
-    assert!(left >= at_least(200.0) * 2, "{left} upstreams");
-    let least = platform.play(40_000..50_000, |_| Some(200.0));
-    assert!(least >= at_least(200.0) * 2, "{least} upstreams");
-    platform.play(50_000..70_000, |_| Some(200.0));
+    platform.simulate(0..40_000, |_| Some(200.0));
+    platform.reclaim_spot("b", 50_000);
+    let remaining = platform.serving_count();
+    assert!(
+        remaining >= upstreams_needed(200.0) * 2,
+        "{remaining} upstreams"
+    );
+    let min_serving = platform.simulate(40_000..50_000, |_| Some(200.0));
     assert!(
-        platform.supply["b"].spot > 0,
-        "the hall was not asked again"
+        min_serving >= upstreams_needed(200.0) * 2,
+        "{min_serving} upstreams"
+    );
+    platform.simulate(50_000..70_000, |_| Some(200.0));
+    assert!(
+        platform.capacity["b"].spot > 0,
+        "no spot upstreams were ordered in the hall again"
     );
 }
 
 #[test]
 fn work_that_grows_gets_more() {
     let mut platform = Platform::new(Some(0.2));
-    platform.play(0..40_000, |_| Some(100.0));
-    let before = platform.serving();
-    platform.play(40_000..50_000, |_| Some(400.0));
+    platform.simulate(0..40_000, |_| Some(100.0));
+    let before = platform.serving_count();
+    platform.simulate(40_000..50_000, |_| Some(400.0));
     assert!(
-        platform.serving() >= before * 2,
+        platform.serving_count() >= before * 2,
         "{} after {before}",
-        platform.serving()
+        platform.serving_count()
     );
 }
 
 #[test]
 fn a_wave_of_work_makes_few_orders() {
     let mut platform = Platform::new(Some(0.2));
-    platform.play(0..40_000, |_| Some(200.0));
-    let before = platform.given;
-    let wave = |now_ms: u64| {
-        let turn = now_ms as f64 / 11_000.0 * std::f64::consts::TAU;
-        Some(160.0 + 40.0 * turn.sin())
+    platform.simulate(0..40_000, |_| Some(200.0));
+    let before = platform.order_count;
+    let running = |now_ms: u64| {
+        let phase = now_ms as f64 / 11_000.0 * std::f64::consts::TAU;
+        Some(160.0 + 40.0 * phase.sin())
     };
-    platform.play(40_000..160_000, wave);
-    let orders = platform.given - before;
+    platform.simulate(40_000..160_000, running);
+    let orders = platform.order_count - before;
     assert!(orders <= 8, "{orders} orders in two minutes");
 }
 
 #[test]
 fn a_drained_hall_gets_no_orders_and_does_not_count() {
     let mut platform = Platform::new(Some(0.2));
-    platform.play(0..40_000, |_| Some(200.0));
+    platform.simulate(0..40_000, |_| Some(200.0));
     platform.drained = vec!["c".into()];
-    let before = platform.supply["c"];
-    platform.play(40_000..60_000, |_| Some(200.0));
-    assert_eq!(platform.supply["c"], before);
-    let elsewhere = platform.serving() - before.on_demand - before.spot;
-    assert!(elsewhere >= at_least(200.0) * 2, "{elsewhere} upstreams");
+    let before = platform.capacity["c"];
+    platform.simulate(40_000..60_000, |_| Some(200.0));
+    assert_eq!(platform.capacity["c"], before);
+    let in_other_halls = platform.serving_count() - before.on_demand - before.spot;
+    assert!(
+        in_other_halls >= upstreams_needed(200.0) * 2,
+        "{in_other_halls} upstreams"
+    );
 }
 
-/// What callers saw: one in ten late for 12 s after a roll-out. Order of events: 70 upstreams of a hall stood side by side, 35 of
-/// each version, and 42 were ordered; the platform ended the newest 28, and with the roll-out the old 35, so 7 were left.
+/// Guards against a capacity loss that made one in ten responses late for 12 s after a roll-out. A hall had 70
+/// upstreams, 35 of each version, and 42 were ordered: the platform stopped the newest 28, then the roll-out stopped
+/// the old 35, which left 7.
 #[test]
 fn while_two_versions_stand_side_by_side_nothing_is_ordered() {
     let mut platform = Platform::new(Some(0.2));
-    for of_hall in platform.supply.values_mut() {
-        of_hall.on_demand = FIRST * 2;
+    for hall_capacity in platform.capacity.values_mut() {
+        hall_capacity.on_demand = INITIAL_PER_HALL * 2;
     }
     platform.is_rolling_out = true;
-    platform.play(0..24_000, |_| Some(200.0));
+    platform.simulate(0..24_000, |_| Some(200.0));
     platform.is_rolling_out = false;
-    platform.play(24_000..25_500, |_| Some(200.0));
-    assert_eq!((platform.given, platform.serving()), (0, FIRST * 8));
-    for of_hall in platform.supply.values_mut() {
-        of_hall.on_demand = FIRST;
+    platform.simulate(24_000..25_500, |_| Some(200.0));
+    assert_eq!(
+        (platform.order_count, platform.serving_count()),
+        (0, INITIAL_PER_HALL * 8)
+    );
+    for hall_capacity in platform.capacity.values_mut() {
+        hall_capacity.on_demand = INITIAL_PER_HALL;
     }
-    platform.play(25_500..60_000, |_| Some(200.0));
+    platform.simulate(25_500..60_000, |_| Some(200.0));
     assert!(
-        platform.lasting() < FIRST,
-        "{} are not spot",
-        platform.lasting()
+        platform.on_demand_count() < INITIAL_PER_HALL,
+        "{} on-demand upstreams",
+        platform.on_demand_count()
     );
 }
