--- a/crates/ivyweir-policy/tests/gateway_repeats.rs
+++ b/crates/ivyweir-policy/tests/gateway_repeats.rs
@@ -1,5 +1,5 @@
-//! The fleet's bound on repeats: never reached by boxes that tell each other their counts late, and hardly
-//! felt where it is far.
+//! The fleet-wide retry bound: boxes that receive each other's counts late never exceed it, and it denies few
+//! retries while the fleet is far below it.
 
 use std::collections::VecDeque;
 
@@ -12,23 +12,23 @@
 const WINDOW_MS: u64 = 10_000;
 const STEP_MS: u64 = 50;
 
-/// How the requests of a run ask for repeats.
+/// Request load of a simulation and its demand for retries.
 #[derive(Clone, Copy)]
 struct Load {
     boxes: usize,
     requests_per_s: f64,
-    /// Chance that a request asks for a repeat, until and from `turn_ms`; it may ask twice.
-    doubt: [f64; 2],
-    turn_ms: u64,
-    /// Age of the counts that boxes hear of each other; none where they hear nothing.
-    told_after_ms: Option<u64>,
+    /// Probability that a request needs a retry, before and from `change_at_ms`; it may need a second one.
+    retry_probability: [f64; 2],
+    change_at_ms: u64,
+    /// Age of the counts that boxes receive from each other; `None` if they receive none.
+    counts_delay_ms: Option<u64>,
 }
 
 struct Outcome {
-    /// Repeats that were not allowed, of those asked for.
-    denied: f64,
-    /// The most repeats of any window, as part of what the fleet's bound allows.
-    most: f64,
+    /// Share of the requested retries that was denied.
+    denied_share: f64,
+    /// Highest number of retries in any window, as a share of the fleet-wide bound.
+    peak_bound_share: f64,
 }
 
 fn limits(boxes: usize) -> RetryLimits {
@@ -40,25 +40,25 @@
     }
 }
 
-fn play(load: Load) -> Outcome {
+fn simulate(load: Load) -> Outcome {
     let limits = limits(load.boxes);
     let mut rng = StdRng::seed_from_u64(27);
     let mut budgets = vec![RetryBudget::default(); load.boxes];
-    let mut told: VecDeque<(u64, RetryCounts)> = VecDeque::new();
+    let mut sent_counts: VecDeque<(u64, RetryCounts)> = VecDeque::new();
     let mut steps: Vec<(u32, u32)> = Vec::new();
-    let (mut asked, mut denied) = (0_u32, 0_u32);
+    let (mut requested, mut denied) = (0_u32, 0_u32);
     for now_ms in (0..60_000).step_by(STEP_MS as usize) {
         let mut sum = RetryCounts::default();
         for budget in &mut budgets {
             sum.add(budget.counts(&limits, now_ms));
         }
-        told.push_back((now_ms, sum));
-        let is_told = |at_ms: u64| load.told_after_ms.is_some_and(|ms| at_ms + ms <= now_ms);
-        while told.len() > 1 && is_told(told[1].0) {
-            told.pop_front();
+        sent_counts.push_back((now_ms, sum));
+        let is_received = |at_ms: u64| load.counts_delay_ms.is_some_and(|ms| at_ms + ms <= now_ms);
+        while sent_counts.len() > 1 && is_received(sent_counts[1].0) {
+            sent_counts.pop_front();
         }
-        let heard = told.front().filter(|(at_ms, _)| is_told(*at_ms));
-        let fleet = heard.map(|(_, counts)| FleetCounts {
+        let received = sent_counts.front().filter(|(at_ms, _)| is_received(*at_ms));
+        let fleet = received.map(|(_, counts)| FleetCounts {
             counts: *counts,
             received_at_ms: now_ms,
         });
@@ -66,16 +66,16 @@
         let expected = load.requests_per_s * STEP_MS as f64 / 1_000.0;
         let arrivals = expected as u32 + u32::from(rng.random::<f64>() < expected.fract());
         for _ in 0..arrivals {
-            let at = rng.random_range(0..load.boxes);
-            budgets[at].count_request(&limits, now_ms);
+            let number = rng.random_range(0..load.boxes);
+            budgets[number].count_request(&limits, now_ms);
             step.0 += 1;
-            let doubt = load.doubt[usize::from(now_ms >= load.turn_ms)];
+            let probability = load.retry_probability[usize::from(now_ms >= load.change_at_ms)];
             for _ in 0..2 {
-                if rng.random::<f64>() >= doubt {
+                if rng.random::<f64>() >= probability {
                     break;
                 }
-                asked += 1;
-                if !budgets[at].try_take(&limits, fleet.as_ref(), now_ms) {
+                requested += 1;
+                if !budgets[number].try_take(&limits, fleet.as_ref(), now_ms) {
                     denied += 1;
                     break;
                 }
@@ -85,64 +85,76 @@
         steps.push(step);
     }
     let window = (WINDOW_MS / STEP_MS) as usize;
-    let parts = steps.windows(window).map(|steps| {
+    let bound_shares = steps.windows(window).map(|steps| {
         let requests: u32 = steps.iter().map(|s| s.0).sum();
-        let repeats: u32 = steps.iter().map(|s| s.1).sum();
-        f64::from(repeats) / (RATIO * f64::from(requests) + SLACK)
+        let retries: u32 = steps.iter().map(|s| s.1).sum();
+        f64::from(retries) / (RATIO * f64::from(requests) + SLACK)
     });
     Outcome {
-        denied: f64::from(denied) / f64::from(asked.max(1)),
-        most: parts.fold(0.0, f64::max),
+        denied_share: f64::from(denied) / f64::from(requested.max(1)),
+        peak_bound_share: bound_shares.fold(0.0, f64::max),
     }
 }
 
-/// Requests of which two in five are doubtful, as a cascade makes them.
-const USUAL: Load = Load {
+/// About two in five requests need a retry, as in a model cascade.
+const CASCADE_LOAD: Load = Load {
     boxes: 300,
     requests_per_s: 40.0,
-    doubt: [0.42, 0.42],
-    turn_ms: 0,
-    told_after_ms: Some(1_200),
+    retry_probability: [0.42, 0.42],
+    change_at_ms: 0,
+    counts_delay_ms: Some(1_200),
 };
 
 #[test]
 fn boxes_with_few_requests_are_hardly_denied_while_the_fleet_has_room() {
-    let alone = play(Load {
-        told_after_ms: None,
-        ..USUAL
+    let without_counts = simulate(Load {
+        counts_delay_ms: None,
+        ..CASCADE_LOAD
     });
-    let together = play(USUAL);
-    // Without the fleet's counts more than a tenth of what is asked for is denied.
-    assert!(alone.denied > 0.1, "{}", alone.denied);
-    assert!(together.denied < 0.05, "{}", together.denied);
-    assert!(together.most < 1.0, "{}", together.most);
+    let with_counts = simulate(CASCADE_LOAD);
+    // Without the fleet's counts more than a tenth of the requested retries is denied.
+    assert!(
+        without_counts.denied_share > 0.1,
+        "{}",
+        without_counts.denied_share
+    );
+    assert!(
+        with_counts.denied_share < 0.05,
+        "{}",
+        with_counts.denied_share
+    );
+    assert!(
+        with_counts.peak_bound_share < 1.0,
+        "{}",
+        with_counts.peak_bound_share
+    );
 }
 
-macro_rules! surges {
+macro_rules! bound_cases {
     ($($name:ident: $load:expr;)*) => {$(
         #[test]
         fn $name() {
-            let outcome = play($load);
-            assert!(outcome.most <= 1.0, "{} of the bound", outcome.most);
+            let outcome = simulate($load);
+            assert!(outcome.peak_bound_share <= 1.0, "{} of the bound", outcome.peak_bound_share);
         }
     )*};
 }
 
-/// From one moment on every request asks for all repeats that it may have.
-const SURGE: Load = Load {
+/// From `change_at_ms` on, every request needs all the retries that it may have.
+const SURGE_LOAD: Load = Load {
     requests_per_s: 2_000.0,
-    doubt: [0.42, 1.0],
-    turn_ms: 30_000,
-    told_after_ms: Some(1_800),
-    ..USUAL
+    retry_probability: [0.42, 1.0],
+    change_at_ms: 30_000,
+    counts_delay_ms: Some(1_800),
+    ..CASCADE_LOAD
 };
 
-surges! {
-    three_hundred_boxes_keep_the_bound: SURGE;
-    eighty_four_boxes_keep_the_bound: Load { boxes: 84, ..SURGE };
-    eight_boxes_keep_the_bound: Load { boxes: 8, requests_per_s: 300.0, ..SURGE };
-    they_keep_it_where_requests_are_rare: Load { requests_per_s: 100.0, ..SURGE };
-    they_keep_it_where_all_is_doubtful_from_the_start: Load { doubt: [1.0, 1.0], ..SURGE };
-    they_keep_it_where_nothing_is_doubtful_before: Load { doubt: [0.0, 1.0], ..SURGE };
-    they_keep_it_where_boxes_hear_nothing: Load { told_after_ms: None, ..SURGE };
+bound_cases! {
+    three_hundred_boxes_keep_the_bound: SURGE_LOAD;
+    eighty_four_boxes_keep_the_bound: Load { boxes: 84, ..SURGE_LOAD };
+    eight_boxes_keep_the_bound: Load { boxes: 8, requests_per_s: 300.0, ..SURGE_LOAD };
+    they_keep_it_where_requests_are_rare: Load { requests_per_s: 100.0, ..SURGE_LOAD };
+    they_keep_it_where_all_is_doubtful_from_the_start: Load { retry_probability: [1.0, 1.0], ..SURGE_LOAD };
+    they_keep_it_where_nothing_is_doubtful_before: Load { retry_probability: [0.0, 1.0], ..SURGE_LOAD };
+    they_keep_it_where_boxes_hear_nothing: Load { counts_delay_ms: None, ..SURGE_LOAD };
 }
