--- a/crates/ivyweir-policy/tests/gateway_revision.rs
+++ b/crates/ivyweir-policy/tests/gateway_revision.rs
@@ -1,9 +1,9 @@
-//! Order and text form of the store's revisions.
+//! Ordering and text representation of store revisions.
 
 use ivyweir_policy::gateway::revision::Revision;
 use proptest::prelude::*;
 
-macro_rules! ordered {
+macro_rules! order_cases {
     ($($name:ident: $earlier:expr, $later:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -12,7 +12,7 @@
     )*};
 }
 
-ordered! {
+order_cases! {
     a_higher_number_in_the_same_era_is_greater: Revision::new(1, 16), Revision::new(1, 24);
     a_later_era_outranks_a_higher_number: Revision::new(1, 24), Revision::unsettled(2, 16);
     a_settled_revision_is_greater_than_an_unsettled_one: Revision::unsettled(1, 24), Revision::new(1, 16);
