--- a/crates/ivyweir-policy/tests/gateway_pace.rs
+++ b/crates/ivyweir-policy/tests/gateway_pace.rs
@@ -1,29 +1,29 @@
-//! What engines' paces are learned to be.
+//! Estimates of the prefill time per token, learned from response times.
 
 use ivyweir_policy::gateway::pace::PrefillPace;
 
-/// Time by token of a pool's three models after answers of `model` to prompts of 2,000 tokens.
-fn after(model: usize, took_ms: &[u64]) -> [f64; 3] {
+/// Milliseconds per token of a pool's three models after responses of `model` to prompts of 2,000 tokens.
+fn learned_ms_per_token(model: usize, durations_ms: &[u64]) -> [f64; 3] {
     let mut pace = PrefillPace::default();
-    for ms in took_ms {
-        pace.record(model, 2_000, *ms);
+    for duration_ms in durations_ms {
+        pace.record(model, 2_000, *duration_ms);
     }
     [0, 1, 2].map(|model| pace.ms_per_token(model, 3))
 }
 
-macro_rules! paces {
-    ($($name:ident: $model:expr, $took_ms:expr => $ms_per_token:expr;)*) => {$(
+macro_rules! pace_cases {
+    ($($name:ident: $model:expr, $durations_ms:expr => $ms_per_token:expr;)*) => {$(
         #[test]
         fn $name() {
-            let learned = after($model, &$took_ms);
+            let learned = learned_ms_per_token($model, &$durations_ms);
             for (learned, expected) in learned.iter().zip::<[f64; 3]>($ms_per_token) {
-                assert!((learned / expected - 1.0).abs() < 0.01, "{learned} for {expected}");
+                assert!((learned / expected - 1.0).abs() < 0.01, "{learned} ms per token, expected {expected}");
             }
         }
     )*};
 }
 
-paces! {
+pace_cases! {
     nothing_heard_is_the_prior: 0, [] => [0.005, 0.0158, 0.05];
     a_few_answers_are_not_believed: 2, [400; 7] => [0.005, 0.0158, 0.05];
     a_quicker_pool_is_believed_for_all_models: 2, [50; 8] => [0.0025, 0.0079, 0.025];
