--- a/crates/ivyweir-policy/tests/gateway_decisions.rs
+++ b/crates/ivyweir-policy/tests/gateway_decisions.rs
@@ -432,7 +432,7 @@
             isolation_hash,
             ..placement_request(None, Some(LONG_PROMPT), 0)
         };
-        let chosen = choose(&idle, &request, 0).expect("one");
+        let chosen = choose(&idle, &request, 0).expect("a candidate");
         assert_eq!(choose(&idle, &request, 0), Some(chosen));
         *placed.entry(chosen).or_default() += 1;
     }
--- a/crates/ivyweir-policy/tests/gateway_duties.rs
+++ b/crates/ivyweir-policy/tests/gateway_duties.rs
@@ -282,10 +282,10 @@
     lease.observe(stored(record("other", 4), 11), 0, 4_400);
     assert_eq!(lease.step(7_800), LeaseStep::Wait);
     assert_eq!(lease.step(7_900), LeaseStep::TakeOver);
-    let (taken, revision) = lease.write(7_900, |_| {});
-    assert_eq!((taken.fence, revision), (5, Some(11)));
+    let (written, revision) = lease.write(7_900, |_| {});
+    assert_eq!((written.fence, revision), (5, Some(11)));
     assert_eq!(lease.fence(7_950), None);
-    lease.observe(stored(taken, 12), 0, 7_980);
+    lease.observe(stored(written, 12), 0, 7_980);
     assert_eq!(lease.fence(7_980), Some(5));
     assert_eq!(lease.fence(9_900), Some(5));
     assert_eq!(lease.fence(9_901), None);
@@ -314,9 +314,9 @@
 fn a_box_that_starts_again_holds_nothing_until_it_has_waited() {
     let mut before = lease(0, 0);
     before.observe(None, 0, 0);
-    let (taken, _) = before.write(0, |_| {});
+    let (written, _) = before.write(0, |_| {});
     let mut after = lease(0, 1);
-    after.observe(stored(taken, 1), 0, 100);
+    after.observe(stored(written, 1), 0, 100);
     assert_eq!(after.step(100), LeaseStep::Wait);
     assert_eq!(after.fence(100), None);
     assert_eq!(after.write(4_000, |_| {}).0.fence, 2);
@@ -326,8 +326,8 @@
 fn a_box_whose_fence_was_refused_reads_the_record_anew() {
     let mut lease = lease(0, 0);
     lease.observe(None, 0, 0);
-    let (taken, _) = lease.write(0, |_| {});
-    lease.observe(stored(taken, 1), 0, 10);
+    let (written, _) = lease.write(0, |_| {});
+    lease.observe(stored(written, 1), 0, 10);
     lease.invalidate();
     assert_eq!(lease.step(20), LeaseStep::Read);
     assert_eq!(lease.fence(20), None);
@@ -340,8 +340,8 @@
 fn lease_after_restore(restored: Option<StoredDuties>) -> Lease {
     let mut lease = lease(0, 0);
     lease.observe(stored(record("other", 3), 4), 0, 0);
-    let (taken, _) = lease.write(4_000, |record| record.fixed_window = Some(8));
-    lease.observe(stored(taken, 5), 0, 4_010);
+    let (written, _) = lease.write(4_000, |record| record.fixed_window = Some(8));
+    lease.observe(stored(written, 5), 0, 4_010);
     assert_eq!(lease.fence(4_010), Some(4));
     lease.observe(restored, 1, 5_000);
     lease
@@ -355,10 +355,10 @@
             assert_eq!(lease.fence(5_000), None);
             assert_eq!(lease.step(8_400), LeaseStep::Wait);
             assert_eq!(lease.step(8_500), LeaseStep::TakeOver);
-            let (taken, _) = lease.write(8_500, |_| {});
-            assert!(taken.fence > 1 << 32, "the fence is not from the current era");
-            assert_eq!(taken.fixed_window, Some(8), "the lost window was not written back");
-            lease.observe(stored(taken, 6), 1, 8_510);
+            let (written, _) = lease.write(8_500, |_| {});
+            assert!(written.fence > 1 << 32, "the fence is not from the current era");
+            assert_eq!(written.fixed_window, Some(8), "the lost window was not written back");
+            lease.observe(stored(written, 6), 1, 8_510);
             assert_eq!(lease.step(8_510), LeaseStep::Held);
         }
     )*};
@@ -373,8 +373,8 @@
 #[test]
 fn an_answer_from_an_earlier_era_is_ignored() {
     let mut lease = lease_after_restore(None);
-    let (taken, _) = lease.write(8_500, |_| {});
-    lease.observe(stored(taken, 6), 1, 8_510);
+    let (written, _) = lease.write(8_500, |_| {});
+    lease.observe(stored(written, 6), 1, 8_510);
     lease.observe(stored(record("other", 5), 9), 0, 8_520);
     assert_eq!(lease.step(8_520), LeaseStep::Held);
 }
