--- a/crates/ivyweir-policy/src/config.rs
+++ b/crates/ivyweir-policy/src/config.rs
@@ -73,7 +73,8 @@
     Withdrawn,
 }
 
-/// A tenant of the system.
+/// A workspace: its caller key, its quality target, its share of capacity, and the versions and
+/// services it may use.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
--- a/crates/ivyweir-policy/src/gateway/site.rs
+++ b/crates/ivyweir-policy/src/gateway/site.rs
@@ -124,7 +124,7 @@
     pub idle_timeout_ms: u64,
 }
 
-/// Tenant with its API keys.
+/// A named set of API keys with an optional request priority.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
     /// Name of the workspace.
