--- a/crates/ivyweir-policy/tests/claim_model.rs
+++ b/crates/ivyweir-policy/tests/claim_model.rs
@@ -1,7 +1,8 @@
-//! Explores the at-most-once protocol exhaustively in a small world.
+//! Exhaustive model check of the at-most-once protocol in a small configuration.
 //!
-//! Boxes, a store and a caller that repeats its key at any box. Boxes crash, pause, stop as planned;
-//! answers of the store are lost; messages come late. In no reachable state has a key run twice.
+//! The model has three boxes, one store and a caller that may repeat its key at any box. Boxes
+//! crash, pause and shut down as planned, store responses are lost, and messages are delayed.
+//! No reachable state may have run a key twice.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -22,14 +23,14 @@
     "workspace\nkey".into()
 }
 
-/// Where a request that was admitted at a box stands.
+/// Progress of a request that a box has admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Stage {
-    /// The authority let it run; nothing has left.
+    /// The authority admitted the request; nothing has been sent.
     Begun,
-    /// The claim is granted as far as the box knows.
+    /// The box considers the claim granted.
     Claimed,
-    /// Left for the upstream.
+    /// Sent to the upstream.
     Sent,
 }
 
@@ -40,14 +41,14 @@
     stage: Stage,
 }
 
-/// What a box remembers of the key: enough to rebuild its authority.
+/// What a box records about the key: enough to rebuild its authority.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct BoxState {
     crashed: bool,
     used: bool,
     released: bool,
     finished: bool,
-    /// The successor chosen at a stop; `Some(None)` for none.
+    /// The successor chosen at a planned shutdown; `Some(None)` if there is none.
     frozen: Option<Option<usize>>,
     adopted: bool,
 }
@@ -56,29 +57,29 @@
 struct State {
     boxes: Vec<BoxState>,
     requests: Vec<Request>,
-    made: u8,
+    issued: u8,
     journal: Journal,
-    store_out: bool,
+    store_unavailable: bool,
     runs: u8,
 }
 
-/// Which of the protocol's parts are left out, to show that the model can fail.
+/// The protocol step that is left out, to show that the model detects the violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Broken {
-    Nothing,
-    /// The claim is not written for requests without a session.
+enum Fault {
+    None,
+    /// No claim is written for requests without a session.
     SkipClaim,
-    /// The successor is not told of the keys used.
+    /// The successor does not receive the used keys.
     ForgetUsed,
-    /// A stopping box names another successor when the first does not answer.
+    /// A box that is shutting down picks another successor if the first does not answer.
     SecondSuccessor,
-    /// A stopping box goes on running keys.
+    /// A box that is shutting down continues to run keys.
     NoFreeze,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Setup {
-    broken: Broken,
+    fault: Fault,
     /// Whether the key belongs to a session that box 0 opened.
     in_session: bool,
 }
@@ -88,31 +89,31 @@
         Self {
             boxes: vec![BoxState::default(); BOXES],
             requests: Vec::new(),
-            made: 0,
+            issued: 0,
             journal: Journal::default(),
-            store_out: false,
+            store_unavailable: false,
             runs: 0,
         }
     }
 
-    /// The product's own authority, in the state that this box is in.
+    /// Builds the production `Authority` in the state of this box.
     fn authority(&self, at: usize, setup: Setup) -> Authority<u8> {
-        let held = &self.boxes[at];
+        let box_state = &self.boxes[at];
         let mut authority = Authority::new(incarnation(at));
-        if held.adopted {
+        if box_state.adopted {
             authority.adopt(incarnation(0), Vec::new());
         }
-        let opener = if held.adopted {
+        let opener = if box_state.adopted {
             incarnation(0)
         } else {
             incarnation(at)
         };
-        let ran = held.used && !held.released;
-        if ran && authority.begin(&opener, &key()) == BeginOutcome::Run && held.finished {
+        let ran = box_state.used && !box_state.released;
+        if ran && authority.begin(&opener, &key()) == BeginOutcome::Run && box_state.finished {
             authority.finish(&key(), 1);
         }
-        if let Some(successor) = held.frozen
-            && setup.broken != Broken::NoFreeze
+        if let Some(successor) = box_state.frozen
+            && setup.fault != Fault::NoFreeze
         {
             authority.freeze(successor.map(incarnation));
         }
@@ -121,18 +122,18 @@
 
     fn successors(&self, setup: Setup) -> Vec<Self> {
         let mut next = Vec::new();
-        self.ask(setup, &mut next);
-        for at in 0..self.requests.len() {
-            self.advance(at, setup, &mut next);
+        self.issue_request(setup, &mut next);
+        for index in 0..self.requests.len() {
+            self.advance(index, setup, &mut next);
         }
-        self.fail(&mut next);
-        self.stop(setup, &mut next);
+        self.inject_faults(&mut next);
+        self.shut_down(setup, &mut next);
         next
     }
 
-    /// The caller sends its key, to any box.
-    fn ask(&self, setup: Setup, next: &mut Vec<Self>) {
-        if self.made == MAX_REQUESTS {
+    /// The caller sends its key to any box.
+    fn issue_request(&self, setup: Setup, next: &mut Vec<Self>) {
+        if self.issued == MAX_REQUESTS {
             return;
         }
         for at in (0..BOXES).filter(|&at| !self.boxes[at].crashed) {
@@ -145,54 +146,54 @@
             if authority.begin(&opener, &key()) != BeginOutcome::Run {
                 continue;
             }
-            let mut then = self.clone();
-            then.made += 1;
-            then.boxes[at].used = true;
-            then.boxes[at].released = false;
-            then.requests.push(Request {
+            let mut next_state = self.clone();
+            next_state.issued += 1;
+            next_state.boxes[at].used = true;
+            next_state.boxes[at].released = false;
+            next_state.requests.push(Request {
                 at,
-                nonce: if setup.in_session { 0 } else { self.made + 1 },
+                nonce: if setup.in_session { 0 } else { self.issued + 1 },
                 stage: Stage::Begun,
             });
-            next.push(then);
+            next.push(next_state);
         }
     }
 
-    fn advance(&self, which: usize, setup: Setup, next: &mut Vec<Self>) {
-        let request = &self.requests[which];
+    fn advance(&self, index: usize, setup: Setup, next: &mut Vec<Self>) {
+        let request = &self.requests[index];
         if self.boxes[request.at].crashed {
             return;
         }
-        let mut then = self.clone();
+        let mut next_state = self.clone();
         match request.stage {
-            Stage::Begun if setup.in_session || setup.broken == Broken::SkipClaim => {
-                // The session's authority is enough; the journal only adds to it.
-                then.requests[which].stage = Stage::Claimed;
-                next.push(then);
+            Stage::Begun if setup.in_session || setup.fault == Fault::SkipClaim => {
+                // The session's authority suffices; the journal is only an additional check.
+                next_state.requests[index].stage = Stage::Claimed;
+                next.push(next_state);
             }
-            Stage::Begun => self.claim(which, next),
+            Stage::Begun => self.claim(index, next),
             Stage::Claimed => {
-                then.requests[which].stage = Stage::Sent;
-                then.runs += 1;
-                next.push(then);
+                next_state.requests[index].stage = Stage::Sent;
+                next_state.runs += 1;
+                next.push(next_state);
             }
             Stage::Sent => {
-                then.boxes[request.at].finished = true;
-                then.requests.remove(which);
-                next.push(then);
+                next_state.boxes[request.at].finished = true;
+                next_state.requests.remove(index);
+                next.push(next_state);
             }
         }
     }
 
-    fn claim(&self, which: usize, next: &mut Vec<Self>) {
-        let request = &self.requests[which];
+    fn claim(&self, index: usize, next: &mut Vec<Self>) {
+        let request = &self.requests[index];
         let refused = || {
-            let mut then = self.clone();
-            then.boxes[request.at].released = true;
-            then.requests.remove(which);
-            then
+            let mut next_state = self.clone();
+            next_state.boxes[request.at].released = true;
+            next_state.requests.remove(index);
+            next_state
         };
-        if self.store_out {
+        if self.store_unavailable {
             next.push(refused());
             return;
         }
@@ -202,38 +203,38 @@
             at_ms: 0,
         };
         let mut written = self.clone();
-        let verdict = written.journal.claim(key(), claim);
-        match verdict {
+        let outcome = written.journal.claim(key(), claim);
+        match outcome {
             ClaimOutcome::Granted => {
-                // The answer comes, or it is lost: then the box reads again, or gives up.
+                // The response arrives, or it is lost and the box either reads again or gives up.
                 let mut granted = written.clone();
-                granted.requests[which].stage = Stage::Claimed;
+                granted.requests[index].stage = Stage::Claimed;
                 next.push(granted);
                 next.push(written.clone());
                 let mut given_up = written;
                 given_up.boxes[request.at].released = true;
-                given_up.requests.remove(which);
+                given_up.requests.remove(index);
                 next.push(given_up);
             }
             ClaimOutcome::Taken(_) => next.push(refused()),
         }
     }
 
-    /// Boxes crash at any moment, the store goes out and comes back. A pause is a box that takes no
-    /// step while others do, which the exploration has anyway.
-    fn fail(&self, next: &mut Vec<Self>) {
+    /// Boxes crash at any time, and the store becomes unavailable and recovers. A pause needs no
+    /// transition of its own: the exploration already covers a box that takes no step while others do.
+    fn inject_faults(&self, next: &mut Vec<Self>) {
         for at in (0..BOXES).filter(|&at| !self.boxes[at].crashed) {
-            let mut then = self.clone();
-            then.boxes[at].crashed = true;
-            next.push(then);
+            let mut next_state = self.clone();
+            next_state.boxes[at].crashed = true;
+            next.push(next_state);
         }
-        let mut then = self.clone();
-        then.store_out = !self.store_out;
-        next.push(then);
+        let mut next_state = self.clone();
+        next_state.store_unavailable = !self.store_unavailable;
+        next.push(next_state);
     }
 
-    /// Box 0 stops as planned: it freezes, and hands over to its one successor, perhaps twice.
-    fn stop(&self, setup: Setup, next: &mut Vec<Self>) {
+    /// Planned shutdown of box 0: it freezes and hands over to its only successor, possibly twice.
+    fn shut_down(&self, setup: Setup, next: &mut Vec<Self>) {
         let leaving = &self.boxes[0];
         if leaving.crashed {
             return;
@@ -241,9 +242,7 @@
         for successor in 1..BOXES {
             let first_or_same = match leaving.frozen {
                 None => true,
-                Some(chosen) => {
-                    chosen == Some(successor) || setup.broken == Broken::SecondSuccessor
-                }
+                Some(chosen) => chosen == Some(successor) || setup.fault == Fault::SecondSuccessor,
             };
             if !first_or_same || self.boxes[successor].crashed {
                 continue;
@@ -252,21 +251,21 @@
             let (chosen, used) = authority.freeze(Some(incarnation(successor)));
             let mut frozen = self.clone();
             frozen.boxes[0].frozen = Some(Some(successor));
-            // The message is lost, or arrives.
+            // The hand-over message is either lost or delivered.
             next.push(frozen.clone());
-            let agreed = chosen == Some(incarnation(successor)) || setup.broken != Broken::Nothing;
+            let agreed = chosen == Some(incarnation(successor)) || setup.fault != Fault::None;
             if agreed && !self.boxes[successor].adopted {
-                let tells = !used.is_empty() && setup.broken != Broken::ForgetUsed;
+                let transfers_keys = !used.is_empty() && setup.fault != Fault::ForgetUsed;
                 frozen.boxes[successor].adopted = true;
-                frozen.boxes[successor].used |= tells;
-                frozen.boxes[successor].released &= !tells;
+                frozen.boxes[successor].used |= transfers_keys;
+                frozen.boxes[successor].released &= !transfers_keys;
                 next.push(frozen);
             }
         }
     }
 }
 
-/// Explores all reachable states. Returns how many there are, or one in which a key ran twice.
+/// Explores all reachable states. Returns their number, or a state in which a key ran twice.
 fn explore(setup: Setup) -> Result<usize, Box<State>> {
     let mut seen = HashSet::new();
     let mut queue = VecDeque::from([State::start()]);
@@ -282,9 +281,9 @@
 }
 
 macro_rules! explores {
-    ($($name:ident: $broken:ident, $in_session:literal => $holds:literal;)*) => {
+    ($($name:ident: $fault:ident, $in_session:literal => $holds:literal;)*) => {
         $(#[test] fn $name() {
-            let found = explore(Setup { broken: Broken::$broken, in_session: $in_session });
+            let found = explore(Setup { fault: Fault::$fault, in_session: $in_session });
             match found {
                 Ok(states) => {
                     println!("{states} states");
@@ -297,8 +296,8 @@
 }
 
 explores! {
-    a_session_key_runs_at_most_once: Nothing, true => true;
-    a_claimed_key_runs_at_most_once: Nothing, false => true;
+    a_session_key_runs_at_most_once: None, true => true;
+    a_claimed_key_runs_at_most_once: None, false => true;
     without_the_claim_a_key_runs_twice: SkipClaim, false => false;
     without_the_used_keys_a_successor_runs_one_again: ForgetUsed, true => false;
     with_two_successors_a_key_runs_twice: SecondSuccessor, true => false;
