--- a/crates/ivyweir-policy/tests/load.rs
+++ b/crates/ivyweir-policy/tests/load.rs
@@ -1,4 +1,4 @@
-//! Decisions under load: upstreams, queues, models, verdicts, membership.
+//! Load balancing, admission queue, model selection, version health, gossip membership and retries under load.
 
 use std::collections::HashMap;
 
@@ -31,7 +31,7 @@
     balancer
 }
 
-fn want(random: u64) -> CallRequirements<'static> {
+fn call_requirements(random: u64) -> CallRequirements<'static> {
     CallRequirements {
         pool: None,
         version: Some("m@v1"),
@@ -48,17 +48,25 @@
 fn a_full_pool_is_full_and_a_missing_version_is_missing() {
     let mut balancer = balancer(Policy::Affinity, &[2, 2]);
     for n in 0..4 {
-        balancer.pick(&want(n)).expect("there is room");
+        balancer
+            .pick(&call_requirements(n))
+            .expect("capacity is available");
     }
-    let mut over = 0;
-    while balancer.pick(&want(over)).is_ok() {
-        over += 1;
-        assert!(over < 10, "a box does not fill upstreams without end");
+    let mut excess = 0;
+    while balancer.pick(&call_requirements(excess)).is_ok() {
+        excess += 1;
+        assert!(
+            excess < 10,
+            "picks beyond the reported slots must be bounded"
+        );
     }
-    assert_eq!(balancer.pick(&want(0)).err(), Some(PickError::NoCapacity));
+    assert_eq!(
+        balancer.pick(&call_requirements(0)).err(),
+        Some(PickError::NoCapacity)
+    );
     let other = CallRequirements {
         version: Some("m@v2"),
-        ..want(0)
+        ..call_requirements(0)
     };
     assert_eq!(balancer.pick(&other).err(), Some(PickError::NoMatch));
 }
@@ -68,9 +76,9 @@
     let mut balancer = balancer(Policy::Affinity, &[64; 8]);
     let prefix = CallRequirements {
         prefix: Some(42),
-        ..want(0)
+        ..call_requirements(0)
     };
-    let first = balancer.pick(&prefix).expect("there is room");
+    let first = balancer.pick(&prefix).expect("capacity is available");
     balancer.finish(&first, true, Some(5), 100_000);
     for n in 0..20 {
         let picked = balancer
@@ -78,7 +86,7 @@
                 random: n,
                 ..prefix
             })
-            .expect("there is room");
+            .expect("capacity is available");
         assert_eq!(picked.name, first.name);
         balancer.finish(&picked, true, Some(5), 100_000);
     }
@@ -89,42 +97,58 @@
                 random: n,
                 ..prefix
             })
-            .expect("there is room");
+            .expect("capacity is available");
         *counts.entry(picked.name).or_default() += 1;
     }
     let most = counts.values().max().copied().unwrap_or(0);
-    assert!(most <= 16, "a hot prefix spreads: {counts:?}");
+    assert!(
+        most <= 16,
+        "requests of a hot prefix must spread over the upstreams: {counts:?}"
+    );
 }
 
 #[test]
 fn a_leaving_or_failing_upstream_gets_nothing_and_is_probed_back_in() {
     let mut balancer = balancer(Policy::TwoChoices, &[8, 8]);
-    let at = |n, now_ms| CallRequirements { now_ms, ..want(n) };
+    let at = |n, now_ms| CallRequirements {
+        now_ms,
+        ..call_requirements(n)
+    };
     for now_ms in [100_000, 102_000, 104_000] {
-        // Whoever is picked, u0 is made to fail.
+        // Calls to u0 fail, all others succeed.
         let mut failed = false;
         for n in 0..50 {
-            let picked = balancer.pick(&at(n, now_ms)).expect("there is room");
+            let picked = balancer
+                .pick(&at(n, now_ms))
+                .expect("capacity is available");
             assert!(
                 !failed || picked.name.as_ref() == "u1",
-                "one failure is enough for a while"
+                "one failure must eject u0 for the ejection period"
             );
             failed |= picked.name.as_ref() == "u0";
             balancer.finish(&picked, picked.name.as_ref() != "u0", None, now_ms);
         }
-        assert!(failed, "it is probed when its time is over");
+        assert!(failed, "u0 must be probed when its ejection period ends");
     }
     for n in 0..50 {
-        let picked = balancer.pick(&at(n, 105_900)).expect("there is room");
-        assert_eq!(picked.name.as_ref(), "u1", "the time out has doubled");
+        let picked = balancer
+            .pick(&at(n, 105_900))
+            .expect("capacity is available");
+        assert_eq!(
+            picked.name.as_ref(),
+            "u1",
+            "the ejection period must have doubled"
+        );
         balancer.finish(&picked, true, None, 105_900);
     }
     let back = (0..50).any(|n| {
-        let picked = balancer.pick(&at(n, 106_100)).expect("there is room");
+        let picked = balancer
+            .pick(&at(n, 106_100))
+            .expect("capacity is available");
         balancer.finish(&picked, true, None, 106_100);
         picked.name.as_ref() == "u0"
     });
-    assert!(back, "the ejected one is probed");
+    assert!(back, "the ejected upstream must be probed");
     balancer.retire_unlisted(|name| name != "u0");
     let state = balancer.get("u0").map(|u| u.state);
     assert_ne!(state, Some(BoxState::Live));
@@ -133,15 +157,17 @@
 #[test]
 fn a_call_to_an_upstream_that_moved_meanwhile_ends_without_a_trace() {
     let mut balancer = balancer(Policy::Affinity, &[4]);
-    let old = balancer.pick(&want(1)).expect("there is room");
+    let old = balancer
+        .pick(&call_requirements(1))
+        .expect("capacity is available");
     let moved = Upstream::new("u0".into(), "b".into(), "h".into(), "p".into(), 100_000);
     balancer.upsert(moved);
     balancer.finish(&old, false, None, 100_000);
-    let now = balancer.get("u0").expect("it is listed");
+    let now = balancer.get("u0").expect("u0 is listed");
     assert_eq!((now.in_flight(), now.is_ejected(100_001)), (0, false));
 }
 
-fn ticket(id: u64, workspace: &str, weight: u32) -> QueuedRequest {
+fn queued_request(id: u64, workspace: &str, weight: u32) -> QueuedRequest {
     QueuedRequest {
         id,
         workspace: workspace.into(),
@@ -159,19 +185,19 @@
     });
     for id in 0..100 {
         queue
-            .enqueue(ticket(id, "flood", 1), 0, 0)
-            .expect("there is room");
+            .enqueue(queued_request(id, "flood", 1), 0, 0)
+            .expect("capacity is available");
     }
     assert_eq!(
-        queue.enqueue(ticket(100, "flood", 1), 0, 0),
+        queue.enqueue(queued_request(100, "flood", 1), 0, 0),
         Err(AdmissionError::QueueFull)
     );
     let mut displaced = 0;
     for id in 101..131 {
         displaced += usize::from(
             queue
-                .enqueue(ticket(id, "small", 1), 0, 0)
-                .expect("a share")
+                .enqueue(queued_request(id, "small", 1), 0, 0)
+                .expect("the workspace has a share of the queue")
                 .is_some(),
         );
     }
@@ -180,7 +206,7 @@
     for _ in 0..40 {
         let next = queue
             .dequeue(1, &mut Vec::new(), |_| true)
-            .expect("somebody waits");
+            .expect("a request is queued");
         *served.entry(next.workspace).or_default() += 1;
     }
     assert_eq!((served["small"], served["flood"]), (20, 20));
@@ -193,27 +219,27 @@
         max_wait_ms: 500,
     });
     assert_eq!(
-        queue.enqueue(ticket(0, "a", 1), 0, 501),
+        queue.enqueue(queued_request(0, "a", 1), 0, 501),
         Err(AdmissionError::WaitTooLong)
     );
     for id in 1..=60 {
         let workspace = if id % 2 == 0 { "heavy" } else { "light" };
         let weight = if id % 2 == 0 { 3 } else { 1 };
         queue
-            .enqueue(ticket(id, workspace, weight), 0, 0)
-            .expect("there is room");
+            .enqueue(queued_request(id, workspace, weight), 0, 0)
+            .expect("capacity is available");
     }
     let urgent = QueuedRequest {
         priority: 9,
-        ..ticket(99, "light", 1)
+        ..queued_request(99, "light", 1)
     };
-    queue.enqueue(urgent, 0, 0).expect("there is room");
+    queue.enqueue(urgent, 0, 0).expect("capacity is available");
     let mut order = Vec::new();
     for _ in 0..24 {
         order.push(
             queue
                 .dequeue(1, &mut Vec::new(), |_| true)
-                .expect("somebody waits"),
+                .expect("a request is queued"),
         );
     }
     let heavy = order
@@ -240,7 +266,7 @@
         }
     }
     Candidate {
-        version: name.parse().expect("a version"),
+        version: name.parse().expect("valid version reference"),
         cost_micro_per_ktoken: cost,
         prior_quality: 0.7,
         buckets,
@@ -248,7 +274,7 @@
     }
 }
 
-fn split(low: f64, high: f64) -> [(u64, f64); CONFIDENCE_BUCKETS] {
+fn buckets_split_at_half(low: f64, high: f64) -> [(u64, f64); CONFIDENCE_BUCKETS] {
     std::array::from_fn(|at| {
         (
             100,
@@ -261,26 +287,26 @@
     })
 }
 
-macro_rules! choices {
-    ($($name:ident: target $target:literal, cascade $may:literal, bad $bad:expr => $choice:expr;)*) => {
+macro_rules! selection_tests {
+    ($($name:ident: target $target:literal, cascade $may_cascade:literal, bad $bad:expr => $choice:expr;)*) => {
         $(#[test] fn $name() {
             let mut candidates = [
-                candidate("cheap@v1", 1, split(0.2, 0.95)),
-                candidate("middle@v1", 6, split(0.8, 0.8)),
-                candidate("strong@v1", 10, split(0.95, 0.95)),
+                candidate("cheap@v1", 1, buckets_split_at_half(0.2, 0.95)),
+                candidate("middle@v1", 6, buckets_split_at_half(0.8, 0.8)),
+                candidate("strong@v1", 10, buckets_split_at_half(0.95, 0.95)),
             ];
             for at in $bad {
                 let at: usize = at;
                 candidates[at].is_bad = true;
             }
-            let needs = Constraints { quality_target: $target, may_cascade: $may };
+            let needs = Constraints { quality_target: $target, may_cascade: $may_cascade };
             let choice = select(&candidates, needs);
             assert_eq!(choice, Some($choice));
         })*
     };
 }
 
-choices! {
+selection_tests! {
     the_cheapest_that_meets: target 0.5, cascade false, bad [] => Choice::Single(0);
     the_middle_where_it_meets: target 0.75, cascade false, bad [] => Choice::Single(1);
     the_strong_for_a_high_target: target 0.9, cascade false, bad [] => Choice::Single(2);
@@ -291,10 +317,11 @@
     a_bad_one_where_there_is_no_other: target 0.5, cascade false, bad [0, 1, 2] => Choice::Single(0);
 }
 
-/// Answers until the detector gives the alarm, when `bad_permille` of them are bad.
-fn alarm_after(bad_permille: u64, seed: u64, most: u64) -> Option<u64> {
+/// Returns the index of the answer at which the detector raises the alarm, if `bad_permille` of the
+/// answers are bad, or `None` if it raises none within `max_answers`.
+fn first_alarm(bad_permille: u64, seed: u64, max_answers: u64) -> Option<u64> {
     let mut detector = ChangeDetector::default();
-    (0..most).find(|n| {
+    (0..max_answers).find(|n| {
         let is_bad = mix(seed, *n) % 1_000 < bad_permille;
         detector.observe(is_bad) && detector.is_bad()
     })
@@ -302,20 +329,23 @@
 
 #[test]
 fn a_broken_version_is_noticed_soon_and_a_good_one_hardly_ever() {
-    let mut times: Vec<u64> = (0..200)
-        .map(|seed| alarm_after(500, seed, 10_000).expect("it is noticed"))
+    let mut detection_times: Vec<u64> = (0..200)
+        .map(|seed| first_alarm(500, seed, 10_000).expect("the detector raises an alarm"))
         .collect();
-    times.sort_unstable();
+    detection_times.sort_unstable();
     assert!(
-        times[100] <= 15 && times[190] <= 30,
+        detection_times[100] <= 15 && detection_times[190] <= 30,
         "{} {}",
-        times[100],
-        times[190]
+        detection_times[100],
+        detection_times[190]
     );
     let false_alarms = (0..200)
-        .filter(|&seed| alarm_after(20, seed, 2_000).is_some())
+        .filter(|&seed| first_alarm(20, seed, 2_000).is_some())
         .count();
-    assert!(false_alarms <= 2, "{false_alarms} in 400 000 answers");
+    assert!(
+        false_alarms <= 2,
+        "{false_alarms} false alarms in 400 000 answers"
+    );
 }
 
 #[test]
@@ -326,10 +356,16 @@
             (0..1_000).any(|n| detector.observe(mix(seed, n) % 1_000 < bad_permille))
         });
         let alarms = alarms.count();
-        assert!(alarms <= 10, "{alarms} in 100 000 ratings at {expected}");
+        assert!(
+            alarms <= 10,
+            "{alarms} false alarms in 100 000 ratings at expected quality {expected}"
+        );
         let mut broken = ChangeDetector::for_ratings(expected);
-        let noticed = (0..200).find(|n| broken.observe(mix(3, *n) % 1_000 < 950));
-        assert!(noticed.is_some_and(|n| n < 40), "{noticed:?} at {expected}");
+        let detected_at = (0..200).find(|n| broken.observe(mix(3, *n) % 1_000 < 950));
+        assert!(
+            detected_at.is_some_and(|n| n < 40),
+            "alarm at {detected_at:?} for expected quality {expected}"
+        );
     }
 }
 
@@ -367,7 +403,7 @@
     assert_eq!(table.health("a", &timing, 1_000), Health::Alive);
     assert!(
         !table.merge(member("a", 1, 5), 1_500),
-        "the same heartbeat is no news"
+        "an unchanged heartbeat is not an update"
     );
     let (suspect, dead) = (1_001 + timing.suspect_ms, 1_001 + timing.dead_ms);
     assert_eq!(table.health("a", &timing, suspect), Health::Suspect);
@@ -375,11 +411,11 @@
     table.remove_expired(&timing, 1_001 + timing.forget_ms);
     assert!(
         !table.merge(member("a", 1, 900), 70_000),
-        "forgotten for good"
+        "a forgotten incarnation must not return"
     );
     assert!(
         table.merge(member("a", 2, 1), 70_000),
-        "a new start is believed"
+        "a new incarnation must be accepted"
     );
 }
 
@@ -396,12 +432,13 @@
     };
     assert!(
         table.merge(leaving, 1_000),
-        "leaving is news at any heartbeat"
+        "leaving is an update at any heartbeat"
     );
     assert_eq!(table.serving(&timing, 1_000).len(), 1);
 }
 
-/// Rounds until every box has heard of every other, each exchanging as the daemon does.
+/// Runs gossip rounds, exchanging tables as the daemon does, until every box has received the new
+/// heartbeat of box 0.
 #[test]
 fn heartbeats_reach_all_of_a_fleet_within_the_suspect_time() {
     for boxes in [9, 60, 350] {
@@ -423,25 +460,27 @@
         tables[0].increment_heartbeat();
         let target = tables[0].local().heartbeat;
         let mut now_ms = 1;
-        let has_it = |t: &MemberTable| t.get("0").is_some_and(|r| r.heartbeat >= target);
-        while !tables.iter().all(has_it) {
+        let has_heartbeat = |t: &MemberTable| t.get("0").is_some_and(|r| r.heartbeat >= target);
+        while !tables.iter().all(has_heartbeat) {
             now_ms += timing.period_ms;
             for at in 0..boxes {
-                for partner in tables[at].next_partners(&timing, now_ms) {
-                    let with: usize = partner.parse().expect("addresses are numbers here");
-                    let mine: Vec<Member> = tables[at].members().cloned().collect();
-                    let theirs: Vec<Member> = tables[with].members().cloned().collect();
-                    mine.into_iter().for_each(|r| {
-                        tables[with].merge(r, now_ms);
+                for partner_addr in tables[at].next_partners(&timing, now_ms) {
+                    let partner: usize = partner_addr
+                        .parse()
+                        .expect("addresses are numbers in this test");
+                    let local_members: Vec<Member> = tables[at].members().cloned().collect();
+                    let remote_members: Vec<Member> = tables[partner].members().cloned().collect();
+                    local_members.into_iter().for_each(|r| {
+                        tables[partner].merge(r, now_ms);
                     });
-                    theirs.into_iter().for_each(|r| {
+                    remote_members.into_iter().for_each(|r| {
                         tables[at].merge(r, now_ms);
                     });
                 }
             }
             assert!(
                 now_ms <= timing.suspect_ms,
-                "{boxes} boxes: not within the suspect time"
+                "{boxes} boxes: the heartbeat did not reach all boxes within the suspect time"
             );
         }
     }
