--- a/crates/ivyweir-policy/tests/plans.rs
+++ b/crates/ivyweir-policy/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans: races, forgery, rebasing, and what withdrawing and rolling do.
+//! Plans: concurrent changes, rebasing, signatures, withdrawals and roll-outs.
 
 use ivyweir_policy::{
     Config, ErrorKind, Guard, Intent, MAX_AUDIT_ENTRIES, Name, Plan, RolloutState, VersionRef,
@@ -8,24 +8,24 @@
 
 const KEY: &[u8] = b"fleet key";
 
-fn at(text: &str) -> VersionRef {
+fn version_ref(text: &str) -> VersionRef {
     text.parse().expect("model@version")
 }
 
-fn add(text: &str) -> Intent {
+fn add_version(text: &str) -> Intent {
     Intent::AddVersion {
-        at: at(text),
+        at: version_ref(text),
         cost_micro_per_ktoken: 100,
         prior_quality: 0.5,
     }
 }
 
-fn workspace(name: &str) -> Intent {
+fn put_workspace(name: &str) -> Intent {
     let workspace = Workspace {
         key_hash: "00".into(),
         quality_target: 0.5,
         weight: 1,
-        allowed: vec![at("m@v1"), at("m@v2")],
+        allowed: vec![version_ref("m@v1"), version_ref("m@v2")],
         services: vec![],
     };
     Intent::PutWorkspace {
@@ -34,10 +34,10 @@
     }
 }
 
-fn roll(permille: u32) -> Intent {
+fn roll_out(permille: u32) -> Intent {
     Intent::Roll {
         workspace: "x".into(),
-        to: at("m@v2"),
+        to: version_ref("m@v2"),
         target_permille: permille,
         start_ms: 1_000,
         until_ms: 5_000,
@@ -46,7 +46,7 @@
     }
 }
 
-fn event(name: &str) -> Intent {
+fn create_event(name: &str) -> Intent {
     Intent::CreateEvent {
         name: name.into(),
         start_ms: 1,
@@ -55,56 +55,61 @@
 }
 
 fn apply(config: &Config, intent: Intent) -> Config {
-    let plan = Plan::create(config, intent, KEY).expect("the intent fits");
-    plan.apply(config, "ann", 7).expect("nothing moved")
+    let plan = Plan::create(config, intent, KEY).expect("valid intent");
+    plan.apply(config, "ann", 7).expect("no conflicting change")
 }
 
-fn base() -> Config {
-    [add("m@v1"), add("m@v2"), workspace("x"), workspace("y")]
-        .into_iter()
-        .fold(Config::default(), |config, intent| apply(&config, intent))
+fn base_config() -> Config {
+    [
+        add_version("m@v1"),
+        add_version("m@v2"),
+        put_workspace("x"),
+        put_workspace("y"),
+    ]
+    .into_iter()
+    .fold(Config::default(), |config, intent| apply(&config, intent))
 }
 
-macro_rules! races {
-    ($($name:ident: $planned:expr, $meanwhile:expr => $moved:literal;)*) => {
+macro_rules! concurrent_change_tests {
+    ($($name:ident: $planned:expr, $concurrent:expr => $conflicts:literal;)*) => {
         $(#[test] fn $name() {
-            let config = base();
-            let plan = Plan::create(&config, $planned, KEY).expect("the intent fits");
-            let moved_on = apply(&config, $meanwhile);
-            let outcome = plan.apply(&moved_on, "ben", 9);
-            let moved = outcome.as_ref().is_err_and(|e| e.kind() == ErrorKind::Conflict);
-            assert_eq!(moved, $moved, "{outcome:?}");
+            let config = base_config();
+            let plan = Plan::create(&config, $planned, KEY).expect("valid intent");
+            let current_config = apply(&config, $concurrent);
+            let outcome = plan.apply(&current_config, "ben", 9);
+            let conflicts = outcome.as_ref().is_err_and(|e| e.kind() == ErrorKind::Conflict);
+            assert_eq!(conflicts, $conflicts, "{outcome:?}");
             if let Ok(next) = outcome {
-                assert_eq!(next.generation, moved_on.generation + 1);
+                assert_eq!(next.generation, current_config.generation + 1);
                 assert!(plan.is_applied(&next));
             }
         })*
     };
 }
 
-races! {
-    an_unrelated_event_is_rebased: Intent::Withdraw { at: at("m@v2") }, event("drop") => false;
-    another_workspace_is_rebased: roll(500), workspace("y") => false;
-    a_withdrawn_version_moves_a_roll: roll(500), Intent::Withdraw { at: at("m@v2") } => true;
-    a_roll_moves_a_withdrawal: Intent::Withdraw { at: at("m@v2") }, roll(500) => true;
-    two_rolls_of_one_model_collide: roll(500), roll(300) => true;
-    a_new_version_moves_a_withdrawal: Intent::Withdraw { at: at("m@v1") }, add("m@v3") => true;
+concurrent_change_tests! {
+    an_unrelated_event_is_rebased: Intent::Withdraw { at: version_ref("m@v2") }, create_event("drop") => false;
+    another_workspace_is_rebased: roll_out(500), put_workspace("y") => false;
+    a_withdrawn_version_moves_a_roll: roll_out(500), Intent::Withdraw { at: version_ref("m@v2") } => true;
+    a_roll_moves_a_withdrawal: Intent::Withdraw { at: version_ref("m@v2") }, roll_out(500) => true;
+    two_rolls_of_one_model_collide: roll_out(500), roll_out(300) => true;
+    a_new_version_moves_a_withdrawal: Intent::Withdraw { at: version_ref("m@v1") }, add_version("m@v3") => true;
 }
 
-macro_rules! unfit {
+macro_rules! rejected_intent_tests {
     ($($name:ident: $intent:expr => $kind:ident;)*) => {
         $(#[test] fn $name() {
-            let error = Plan::create(&base(), $intent, KEY).expect_err("the intent does not fit");
+            let error = Plan::create(&base_config(), $intent, KEY).expect_err("the intent must be rejected");
             assert_eq!(error.kind(), ErrorKind::$kind, "{error}");
         })*
     };
 }
 
-unfit! {
-    an_unknown_version: Intent::Withdraw { at: at("m@v9") } => NotFound;
-    an_unknown_model: Intent::Withdraw { at: at("n@v1") } => NotFound;
-    a_version_twice: add("m@v1") => AlreadyExists;
-    a_share_over_all: roll(1_001) => Invalid;
+rejected_intent_tests! {
+    an_unknown_version: Intent::Withdraw { at: version_ref("m@v9") } => NotFound;
+    an_unknown_model: Intent::Withdraw { at: version_ref("n@v1") } => NotFound;
+    a_version_twice: add_version("m@v1") => AlreadyExists;
+    a_share_over_all: roll_out(1_001) => Invalid;
     an_unknown_rollout: Intent::Halt { rollout: "x.n".into(), reason: "r".into() } => NotFound;
     an_event_of_nobody: Intent::CreateEvent {
         name: "e".into(), start_ms: 1, workspaces: vec!["z".into()],
@@ -113,10 +118,10 @@
 
 #[test]
 fn a_plan_that_was_altered_or_is_foreign_is_forged() {
-    let plan = Plan::create(&base(), event("drop"), KEY).expect("the intent fits");
-    plan.verify(KEY).expect("it is genuine");
+    let plan = Plan::create(&base_config(), create_event("drop"), KEY).expect("valid intent");
+    plan.verify(KEY).expect("the signature is valid");
     let mut altered = plan.clone();
-    altered.intent = event("other");
+    altered.intent = create_event("other");
     for (plan, key) in [(&altered, KEY), (&plan, b"another key".as_slice())] {
         assert_eq!(
             plan.verify(key).map_err(|e| e.kind()),
@@ -127,19 +132,29 @@
 
 #[test]
 fn withdrawing_halts_roll_outs_and_moves_the_current_version() {
-    let config = apply(&base(), roll(500));
-    let config = apply(&config, Intent::Withdraw { at: at("m@v2") });
+    let config = apply(&base_config(), roll_out(500));
+    let config = apply(
+        &config,
+        Intent::Withdraw {
+            at: version_ref("m@v2"),
+        },
+    );
     assert_eq!(config.rollouts["x.m"].state, RolloutState::Halted);
-    assert!(!config.permits("x", &at("m@v2")));
-    let config = apply(&base(), Intent::Withdraw { at: at("m@v1") });
+    assert!(!config.permits("x", &version_ref("m@v2")));
+    let config = apply(
+        &base_config(),
+        Intent::Withdraw {
+            at: version_ref("m@v1"),
+        },
+    );
     assert_eq!(config.models["m"].current.as_ref(), "v2");
 }
 
 #[test]
 fn a_roll_out_steps_to_its_share_and_catches_up_at_its_end() {
-    let mut config = apply(&base(), roll(400));
+    let mut config = apply(&base_config(), roll_out(400));
     let id: Name = "x.m".into();
-    let calm = rollout::Observation {
+    let no_observations = rollout::Observation {
         rated: 0,
         mean_quality: 0.0,
         done: 0,
@@ -147,7 +162,9 @@
     };
     let mut shares = Vec::new();
     for now_ms in [1_500, 2_000, 2_500, 3_000, 5_000] {
-        if let Some(step) = rollout::next_intent(&id, &config.rollouts[&id], calm, now_ms) {
+        if let Some(step) =
+            rollout::next_intent(&id, &config.rollouts[&id], no_observations, now_ms)
+        {
             config = apply(&config, step);
         }
         shares.push(config.rollouts[&id].share_permille);
@@ -166,17 +183,17 @@
 
 #[test]
 fn the_split_follows_the_share_and_does_not_move_a_nonce_back() {
-    let mut config = apply(&base(), roll(1_000));
+    let mut config = apply(&base_config(), roll_out(1_000));
     let rolled = |config: &Config, nonce: &str| {
-        let at = rollout::resolve_version(config, "x", "m", nonce).expect("the model is there");
-        at.version.as_ref() == "v2"
+        let resolved = rollout::resolve_version(config, "x", "m", nonce).expect("the model exists");
+        resolved.version.as_ref() == "v2"
     };
     let mut before = vec![false; 2_000];
     for share in [100, 300, 700, 1_000] {
         config
             .rollouts
             .get_mut("x.m")
-            .expect("it is there")
+            .expect("the roll-out exists")
             .share_permille = share;
         let now: Vec<bool> = (0..2_000)
             .map(|n| rolled(&config, &n.to_string()))
@@ -184,7 +201,7 @@
         let count = now.iter().filter(|r| **r).count() as i64;
         assert!(
             (count - i64::from(share) * 2).abs() < 120,
-            "{count} at {share}"
+            "{count} of 2000 nonces on v2 at a share of {share} permille"
         );
         assert!(before.iter().zip(&now).all(|(before, now)| *now || !before));
         before = now;
@@ -193,10 +210,10 @@
 
 #[test]
 fn old_audit_entries_are_split_off_and_none_is_lost() {
-    let mut config = base();
+    let mut config = base_config();
     let mut archived = Vec::new();
     for n in 0..MAX_AUDIT_ENTRIES * 2 {
-        config = apply(&config, event(&format!("e{n}")));
+        config = apply(&config, create_event(&format!("e{n}")));
         archived.extend(take_excess_audit_entries(&mut config));
     }
     assert!(config.audit.len() <= MAX_AUDIT_ENTRIES);
@@ -211,27 +228,27 @@
 
     #[test]
     fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _read_or_refused = Config::from_slice(&bytes);
-        let _read_or_refused = serde_json::from_slice::<Plan>(&bytes);
+        let _must_not_panic = Config::from_slice(&bytes);
+        let _must_not_panic = serde_json::from_slice::<Plan>(&bytes);
         if let Ok(text) = std::str::from_utf8(&bytes) {
-            let _read_or_refused = text.parse::<VersionRef>();
+            let _must_not_panic = text.parse::<VersionRef>();
         }
     }
 
     #[test]
     fn a_configuration_survives_writing_and_reading(steps in prop::collection::vec(0_u8..6, 0..12)) {
-        let mut config = base();
+        let mut config = base_config();
         for (n, step) in steps.into_iter().enumerate() {
             let intent = match step {
-                0 => event(&format!("e{n}")),
-                1 => add(&format!("m@w{n}")),
-                2 => workspace("x"),
-                3 => roll(n as u32 * 50),
-                4 => Intent::Withdraw { at: at("m@v2") },
-                _ => Intent::SetCurrent { at: at("m@v1") },
+                0 => create_event(&format!("e{n}")),
+                1 => add_version(&format!("m@w{n}")),
+                2 => put_workspace("x"),
+                3 => roll_out(n as u32 * 50),
+                4 => Intent::Withdraw { at: version_ref("m@v2") },
+                _ => Intent::SetCurrent { at: version_ref("m@v1") },
             };
             if let Ok(plan) = Plan::create(&config, intent, KEY) {
-                config = plan.apply(&config, "ann", 1).expect("nothing moved");
+                config = plan.apply(&config, "ann", 1).expect("no conflicting change");
             }
         }
         prop_assert_eq!(Config::from_slice(&config.to_vec()).unwrap(), config);
