--- a/crates/ivyweir-policy/tests/keys.rs
+++ b/crates/ivyweir-policy/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Session tokens, the sight rule, bills: small decisions with hard edges.
+//! Boundary cases of session tokens, freshness assessment and bills.
 
 use ivyweir_policy::billing::{Bill, Call, Record, Segment};
 use ivyweir_policy::freshness::{
@@ -21,14 +21,14 @@
         key_id: "k1".into(),
         workspace: "studio".into(),
         nonce: "n".into(),
-        versions: vec!["m@v1".parse().expect("a version")],
+        versions: vec!["m@v1".parse().expect("valid version reference")],
         box_name: "box-1".into(),
         incarnation: 5,
         expires_ms: 1_000,
     }
 }
 
-macro_rules! tokens {
+macro_rules! token_tests {
     ($($name:ident: $text:expr, $keys:expr, $workspace:literal, $now_ms:literal => $expected:expr;)*) => {
         $(#[test] fn $name() {
             let token = session().to_signed_token(&key("k1"));
@@ -39,11 +39,11 @@
     };
 }
 
-fn same(token: &str) -> String {
+fn unchanged(token: &str) -> String {
     token.to_owned()
 }
 
-fn last_changed(token: &str) -> String {
+fn mac_changed(token: &str) -> String {
     let (start, last) = token.split_at(token.len() - 1);
     format!("{start}{}", if last == "0" { "1" } else { "0" })
 }
@@ -55,28 +55,28 @@
     format!("{changed}.{mac}")
 }
 
-tokens! {
-    its_own: same, [key("k1")], "studio", 999 => Ok("n".to_owned());
-    after_a_rotation: same, [key("k1"), key("k2")], "studio", 1 => Ok("n".to_owned());
-    after_its_key_is_dropped: same, [key("k2")], "studio", 1 => Err(ErrorKind::BadSignature);
-    of_another_workspace: same, [key("k1")], "network", 1 => Err(ErrorKind::BadSignature);
-    too_late: same, [key("k1")], "studio", 1_000 => Err(ErrorKind::Expired);
-    with_another_mac: last_changed, [key("k1")], "studio", 1 => Err(ErrorKind::BadSignature);
+token_tests! {
+    its_own: unchanged, [key("k1")], "studio", 999 => Ok("n".to_owned());
+    after_a_rotation: unchanged, [key("k1"), key("k2")], "studio", 1 => Ok("n".to_owned());
+    after_its_key_is_dropped: unchanged, [key("k2")], "studio", 1 => Err(ErrorKind::BadSignature);
+    of_another_workspace: unchanged, [key("k1")], "network", 1 => Err(ErrorKind::BadSignature);
+    too_late: unchanged, [key("k1")], "studio", 1_000 => Err(ErrorKind::Expired);
+    with_another_mac: mac_changed, [key("k1")], "studio", 1 => Err(ErrorKind::BadSignature);
     with_another_body: body_changed, [key("k1")], "studio", 1 => Err(ErrorKind::BadSignature);
     of_nothing: |_: &str| String::new(), [key("k1")], "studio", 1 => Err(ErrorKind::Invalid);
     too_long: |t: &str| t.repeat(100), [key("k1")], "studio", 1 => Err(ErrorKind::Invalid);
 }
 
-macro_rules! sights {
-    ($($name:ident: $age:expr, $heard:literal of $listed:literal => $sight:ident, $accepts:literal;)*) => {
+macro_rules! freshness_tests {
+    ($($name:ident: $age:expr, $alive:literal of $listed:literal => $freshness:ident, $accepts:literal;)*) => {
         $(#[test] fn $name() {
-            let seen = FreshnessEvidence { proof_age_ms: $age, listed_boxes: $listed, alive_boxes: $heard };
-            assert_eq!((assess(seen), may_accept_change(seen)), (Freshness::$sight, $accepts));
+            let evidence = FreshnessEvidence { proof_age_ms: $age, listed_boxes: $listed, alive_boxes: $alive };
+            assert_eq!((assess(evidence), may_accept_change(evidence)), (Freshness::$freshness, $accepts));
         })*
     };
 }
 
-sights! {
+freshness_tests! {
     all_is_well: Some(10), 9 of 9 => Fresh, true;
     cut_from_peers_only: Some(10), 1 of 9 => Fresh, false;
     at_the_limit: Some(MAX_PROOF_AGE_MS), 1 of 9 => Fresh, false;
@@ -113,17 +113,17 @@
             .iter()
             .map(|(w, k, cost, at)| record(&format!("w{w}"), &format!("k{k}"), *cost, *at))
             .collect();
-        let whole = Bill::from_segments([Segment { records: records.clone() }]);
-        let mut mixed = records.clone();
-        mixed.sort_by_key(|r| ivyweir_policy::hash::mix(seed, r.at_ms * 100 + r.cost_micro()));
+        let expected = Bill::from_segments([Segment { records: records.clone() }]);
+        let mut shuffled = records.clone();
+        shuffled.sort_by_key(|r| ivyweir_policy::hash::mix(seed, r.at_ms * 100 + r.cost_micro()));
         let mut segments: Vec<Segment> = Vec::new();
         for cut in cuts {
-            let (front, _) = mixed.split_at(cut.min(mixed.len()));
+            let (front, _) = shuffled.split_at(cut.min(shuffled.len()));
             segments.push(Segment { records: front.to_vec() });
         }
-        segments.push(Segment { records: mixed });
-        let joined = Bill::from_segments(segments);
-        prop_assert_eq!(joined.workspaces, whole.workspaces);
+        segments.push(Segment { records: shuffled });
+        let merged = Bill::from_segments(segments);
+        prop_assert_eq!(merged.workspaces, expected.workspaces);
     }
 
     #[test]
