--- a/crates/ivyweir-policy/tests/common/mod.rs
+++ b/crates/ivyweir-policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet: which boxes live, and what each knows of the others by joining at seeds.
+//! A simulated fleet: which boxes run, and which other boxes each knows through joining at seeds.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -13,50 +13,51 @@
 use proptest::prelude::*;
 
 const SEEDS: usize = 3;
-/// Time between a box's rounds at the seeds, the first of them first, as boxes keep them.
-const JOIN_PAUSES_MS: [u64; 7] = [40, 40, 60, 150, 300, 500, 1_000];
-const JOIN_PAUSE_MS: u64 = 2_000;
+/// Intervals between a box's first join rounds after its start, in order; the same as in the daemon.
+const INITIAL_JOIN_INTERVALS_MS: [u64; 7] = [40, 40, 60, 150, 300, 500, 1_000];
+/// Interval between later join rounds.
+const JOIN_INTERVAL_MS: u64 = 2_000;
 pub const STEP_MS: u64 = 50;
-/// How often a box looks anew at which boxes there are, and once more for each hundred of them, to keep the run short.
-const LOOK_MS: u64 = 200;
+/// Interval at which a box recomputes its quota owners. It grows by the same amount for every hundred
+/// boxes, to keep the run short.
+const OWNERS_REFRESH_MS: u64 = 200;
 
-/// The hash of a name.
 pub fn hash(name: &str) -> u64 {
     hash64(&[name.as_bytes()])
 }
 
-/// What becomes of a box in the middle of a run.
+/// A fault injected into a box during a run.
 #[derive(Debug, Clone, Copy)]
-pub enum Trouble {
-    /// It is killed, forgets all, and starts again.
+pub enum Fault {
+    /// The box is killed, loses all its state and starts again.
     Restart { after_ms: u64 },
-    /// It is gone for good.
+    /// The box is lost permanently.
     Loss,
-    /// It reaches no other box for a while, and goes on sending.
-    Cut { for_ms: u64 },
+    /// The box cannot reach any other box for a while, but continues to send requests.
+    Partition { for_ms: u64 },
 }
 
-/// A trouble, when it comes, and to which box.
-pub type Event = (u64, usize, Trouble);
+/// The time of a fault, the index of the box it affects, and the fault.
+pub type FaultEvent = (u64, usize, Fault);
 
-/// Restarts, losses and cuts in series, which overlap.
-pub fn troubles() -> impl Strategy<Value = Vec<Event>> {
-    let trouble = prop_oneof![
-        4 => (0_u64..4_000).prop_map(|after_ms| Trouble::Restart { after_ms }),
-        1 => Just(Trouble::Loss),
-        3 => (500_u64..40_000).prop_map(|for_ms| Trouble::Cut { for_ms }),
+/// Generates series of restarts, losses and network partitions, which may overlap.
+pub fn fault_events() -> impl Strategy<Value = Vec<FaultEvent>> {
+    let fault = prop_oneof![
+        4 => (0_u64..4_000).prop_map(|after_ms| Fault::Restart { after_ms }),
+        1 => Just(Fault::Loss),
+        3 => (500_u64..40_000).prop_map(|for_ms| Fault::Partition { for_ms }),
     ];
-    prop::collection::vec((0_u64..40_000, 0_usize..40, trouble), 0..30)
+    prop::collection::vec((0_u64..40_000, 0_usize..40, fault), 0..30)
 }
 
-/// A box and what it knows of others.
+/// A simulated box and its view of the other boxes.
 pub struct SimBox {
     record: BoxRecord,
-    /// How often it has started; what it remembers begins anew each time.
+    /// Number of starts; each start resets the state of the box.
     pub starts: u32,
     started_ms: Option<u64>,
     starts_at_ms: u64,
-    cut_until_ms: u64,
+    partitioned_until_ms: u64,
     next_join_ms: u64,
     rounds: usize,
     joined: JoinedBoxes,
@@ -80,7 +81,7 @@
             starts: 0,
             started_ms: None,
             starts_at_ms: 0,
-            cut_until_ms: 0,
+            partitioned_until_ms: 0,
             next_join_ms: 0,
             rounds: n,
             joined: JoinedBoxes::default(),
@@ -100,23 +101,22 @@
         self.joined_at_ms = 0;
     }
 
-    /// Its name.
     pub fn name(&self) -> Name {
         self.record.name.clone()
     }
 
-    /// Whether it runs.
-    pub fn lives(&self, now_ms: u64) -> bool {
+    /// Whether the box is running.
+    pub fn is_running(&self, now_ms: u64) -> bool {
         self.started_ms.is_some_and(|at| at <= now_ms)
     }
 
-    /// Whether it reaches no other box.
-    pub fn is_cut(&self, now_ms: u64) -> bool {
-        now_ms < self.cut_until_ms
+    /// Whether the box is partitioned from all other boxes.
+    pub fn is_partitioned(&self, now_ms: u64) -> bool {
+        now_ms < self.partitioned_until_ms
     }
 
-    /// How it shares what upstreams take with others now.
-    pub fn sharing(&self, now_ms: u64) -> QuotaShare {
+    /// The share of the upstreams' quotas that this box may use now.
+    pub fn quota_share(&self, now_ms: u64) -> QuotaShare {
         let up_ms = self.started_ms.map_or(0, |at| now_ms - at);
         let since_joined_ms = now_ms.saturating_sub(self.joined_at_ms);
         QuotaShare::new(
@@ -126,8 +126,8 @@
         )
     }
 
-    /// The boxes it knows, as the daemon merges them.
-    fn owners_among(&self, now_ms: u64) -> QuotaOwners {
+    /// The quota owners among the known boxes, merged as in the daemon.
+    fn quota_owners(&self, now_ms: u64) -> QuotaOwners {
         let mut others: HashMap<Name, BoxRecord> = self.lists.boxes();
         let joined = self.joined.list_for(&self.record.hall, now_ms);
         others.extend(joined.into_iter().map(|r| (r.name.clone(), r)));
@@ -141,74 +141,75 @@
     }
 }
 
-/// Boxes that join each other at the first three of them.
+/// A fleet whose boxes learn of each other by joining at the first three of them, the seeds.
 pub struct SimFleet {
     pub boxes: Vec<SimBox>,
 }
 
 impl SimFleet {
-    /// So many boxes in so many halls, which start together.
+    /// Creates `boxes` boxes in `halls` halls, which all start at the same time.
     pub fn new(boxes: usize, halls: usize) -> Self {
         let boxes = (0..boxes).map(|n| SimBox::new(n, halls)).collect();
         Self { boxes }
     }
 
-    /// Lets the troubles of this step come.
-    pub fn trouble(&mut self, events: &[Event], now_ms: u64) {
+    /// Injects the faults that are due in this step.
+    pub fn inject_faults(&mut self, events: &[FaultEvent], now_ms: u64) {
         let count = self.boxes.len();
-        for &(at_ms, n, trouble) in events {
+        for &(at_ms, n, fault) in events {
             if at_ms / STEP_MS != now_ms / STEP_MS {
                 continue;
             }
-            let sim = &mut self.boxes[n % count];
-            match trouble {
-                Trouble::Restart { after_ms } => {
-                    sim.started_ms = None;
-                    sim.starts_at_ms = at_ms + after_ms;
+            let sim_box = &mut self.boxes[n % count];
+            match fault {
+                Fault::Restart { after_ms } => {
+                    sim_box.started_ms = None;
+                    sim_box.starts_at_ms = at_ms + after_ms;
                 }
-                Trouble::Loss => {
-                    sim.started_ms = None;
-                    sim.starts_at_ms = u64::MAX;
+                Fault::Loss => {
+                    sim_box.started_ms = None;
+                    sim_box.starts_at_ms = u64::MAX;
                 }
-                Trouble::Cut { for_ms } => sim.cut_until_ms = at_ms + for_ms,
+                Fault::Partition { for_ms } => sim_box.partitioned_until_ms = at_ms + for_ms,
             }
         }
     }
 
-    /// A box's step: it starts, joins, and looks at which boxes there are. Whether it runs.
+    /// Advances a box by one step: starts it, joins at a seed and recomputes the quota owners, as due.
+    /// Returns whether the box is running.
     pub fn step(&mut self, n: usize, now_ms: u64) -> bool {
-        let look_ms = LOOK_MS * (1 + self.boxes.len() as u64 / 100);
-        let sim = &mut self.boxes[n];
-        if sim.started_ms.is_none() && now_ms >= sim.starts_at_ms {
-            sim.start(now_ms);
+        let refresh_ms = OWNERS_REFRESH_MS * (1 + self.boxes.len() as u64 / 100);
+        let sim_box = &mut self.boxes[n];
+        if sim_box.started_ms.is_none() && now_ms >= sim_box.starts_at_ms {
+            sim_box.start(now_ms);
         }
-        if !sim.lives(now_ms) {
+        if !sim_box.is_running(now_ms) {
             return false;
         }
-        if now_ms >= sim.next_join_ms {
+        if now_ms >= sim_box.next_join_ms {
             self.join(n, now_ms);
         }
-        if now_ms.is_multiple_of(look_ms) {
-            let sim = &mut self.boxes[n];
-            sim.owners = Arc::new(sim.owners_among(now_ms));
+        if now_ms.is_multiple_of(refresh_ms) {
+            let sim_box = &mut self.boxes[n];
+            sim_box.owners = Arc::new(sim_box.quota_owners(now_ms));
         }
         true
     }
 
-    /// One round at a seed: the first three boxes.
+    /// Performs one join round at the next of the seeds.
     fn join(&mut self, n: usize, now_ms: u64) {
         let boxes = &mut self.boxes;
         let seed = boxes[n].rounds % SEEDS;
         let started_ms = boxes[n].started_ms.unwrap_or(now_ms);
-        let round = JOIN_PAUSES_MS.iter().scan(0, |sum, pause| {
+        let round = INITIAL_JOIN_INTERVALS_MS.iter().scan(0, |sum, pause| {
             *sum += pause;
             Some(*sum)
         });
         let next = round.map(|at| started_ms + at).find(|at| *at > now_ms);
-        boxes[n].next_join_ms = next.unwrap_or(now_ms + JOIN_PAUSE_MS);
+        boxes[n].next_join_ms = next.unwrap_or(now_ms + JOIN_INTERVAL_MS);
         boxes[n].rounds += 1;
-        let is_cut = boxes[n].is_cut(now_ms) || boxes[seed].is_cut(now_ms);
-        if seed == n || !boxes[seed].lives(now_ms) || is_cut {
+        let is_partitioned = boxes[n].is_partitioned(now_ms) || boxes[seed].is_partitioned(now_ms);
+        if seed == n || !boxes[seed].is_running(now_ms) || is_partitioned {
             return;
         }
         let record = boxes[n].record.clone();
@@ -217,9 +218,9 @@
         boxes[seed].joined.join(record, now_ms);
         boxes[seed].joined.join(seed_record, now_ms);
         let addr = boxes[seed].record.peer_addr;
-        let has = boxes[n].lists.cursor(addr);
-        let news = boxes[seed].joined.update_for(&hall, has, now_ms);
-        boxes[n].lists.apply(addr, news, now_ms);
+        let cursor = boxes[n].lists.cursor(addr);
+        let update = boxes[seed].joined.update_for(&hall, cursor, now_ms);
+        boxes[n].lists.apply(addr, update, now_ms);
         boxes[n].fleet_size = boxes[seed].joined.count(now_ms);
         boxes[n].joined_at_ms = now_ms;
     }
--- a/crates/ivyweir-policy/tests/gateway_cold.rs
+++ b/crates/ivyweir-policy/tests/gateway_cold.rs
@@ -8,7 +8,7 @@
 use ivyweir_policy::hash::hash64;
 use proptest::prelude::*;
 
-use common::{Event, STEP_MS, SimFleet, Trouble, hash, troubles};
+use common::{Fault, FaultEvent, STEP_MS, SimFleet, fault_events, hash};
 
 const UPSTREAM: u64 = 0x5eed;
 const START: ColdStart = ColdStart {
@@ -113,12 +113,12 @@
 
 /// Plays a fleet all of whose boxes send to one cold upstream as often as they may; returns the times of
 /// all requests.
-fn play(boxes: usize, halls: usize, events: &[Event], until_ms: u64) -> Vec<u64> {
+fn play(boxes: usize, halls: usize, events: &[FaultEvent], until_ms: u64) -> Vec<u64> {
     let mut fleet = SimFleet::new(boxes, halls);
     let mut sends: Vec<(u32, RecentSends)> = vec![Default::default(); boxes];
     let mut sent = Vec::new();
     for now_ms in (0..until_ms).step_by(STEP_MS as usize) {
-        fleet.trouble(events, now_ms);
+        fleet.inject_faults(events, now_ms);
         for (n, (starts, own)) in sends.iter_mut().enumerate() {
             if !fleet.step(n, now_ms) {
                 continue;
@@ -127,7 +127,7 @@
             if *starts != sim.starts {
                 (*starts, *own) = (sim.starts, RecentSends::default());
             }
-            let part = sim.sharing(now_ms).own_parts(UPSTREAM, START.limit());
+            let part = sim.quota_share(now_ms).own_parts(UPSTREAM, START.limit());
             while own.count(now_ms) < part {
                 own.record(now_ms);
                 sent.push(now_ms);
@@ -158,8 +158,8 @@
 
 #[test]
 fn all_boxes_restart_at_once_and_forget_what_they_sent() {
-    let restarts = (0..24).map(|n| (6_000 + 20 * n as u64, n, Trouble::Restart { after_ms: 100 }));
-    let events: Vec<Event> = restarts.collect();
+    let restarts = (0..24).map(|n| (6_000 + 20 * n as u64, n, Fault::Restart { after_ms: 100 }));
+    let events: Vec<FaultEvent> = restarts.collect();
     let sent = play(24, 4, &events, 14_000);
     assert!(
         most_in_a_second(&sent) <= FALLS_OVER_AT,
@@ -172,7 +172,7 @@
     #![proptest_config(ProptestConfig { cases: 16, failure_persistence: None, rng_seed: prop::test_runner::RngSeed::Fixed(27), ..ProptestConfig::default() })]
     #[test]
     fn no_trouble_makes_a_fleet_exceed_what_a_cold_upstream_bears(
-        boxes in 6_usize..40, halls in 1_usize..6, events in troubles()
+        boxes in 6_usize..40, halls in 1_usize..6, events in fault_events()
     ) {
         let sent = play(boxes, halls, &events, 60_000);
         prop_assert!(most_in_a_second(&sent) <= FALLS_OVER_AT, "{}", most_in_a_second(&sent));
--- a/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
+++ b/crates/ivyweir-policy/tests/gateway_limit_fleets.rs
@@ -12,7 +12,7 @@
 use ivyweir_standins::edge::{Arrival, LimitPromise};
 use proptest::prelude::*;
 
-use common::{Event, STEP_MS, SimBox, SimFleet, Trouble, hash, troubles};
+use common::{Fault, FaultEvent, STEP_MS, SimBox, SimFleet, fault_events, hash};
 
 const MAX_BACKOFF_MS: u64 = 60_000;
 /// Interval at which boxes forward announced limits to each other.
@@ -98,7 +98,7 @@
     /// Sends a request if the limit allows it now, and returns whether it was sent.
     fn try_send(&mut self, sim: &SimBox, now_ms: u64) -> bool {
         let rules = SendRules {
-            sharing: sim.sharing(now_ms),
+            sharing: sim.quota_share(now_ms),
             cold_limit: None,
         };
         let id: Name = "u".into();
@@ -115,7 +115,8 @@
 
 /// Forwards limits among the boxes that reach each other: from all others to the first one, and from it back to them.
 fn exchange_limits(fleet: &SimFleet, states: &mut [BoxState], now_ms: u64) {
-    let reachable = |n: &usize| fleet.boxes[*n].lives(now_ms) && !fleet.boxes[*n].is_cut(now_ms);
+    let reachable =
+        |n: &usize| fleet.boxes[*n].is_running(now_ms) && !fleet.boxes[*n].is_partitioned(now_ms);
     let reachable: Vec<usize> = (0..states.len()).filter(reachable).collect();
     let Some((&relay, others)) = reachable.split_first() else {
         return;
@@ -168,7 +169,7 @@
     boxes: usize,
     halls: usize,
     schedule: LimitSchedule,
-    events: &[Event],
+    events: &[FaultEvent],
     until_ms: u64,
     sender: fn(&SimBox) -> Name,
 ) -> Vec<Arrival> {
@@ -189,7 +190,7 @@
     halls: usize,
     schedule: LimitSchedule,
     workload: Workload,
-    events: &[Event],
+    events: &[FaultEvent],
     until_ms: u64,
     sender: fn(&SimBox) -> Name,
 ) -> Vec<Arrival> {
@@ -197,7 +198,7 @@
     let mut states: Vec<BoxState> = fleet.boxes.iter().map(BoxState::of).collect();
     let mut arrivals = Vec::new();
     for now_ms in (0..until_ms).step_by(STEP_MS as usize) {
-        fleet.trouble(events, now_ms);
+        fleet.inject_faults(events, now_ms);
         for (n, state) in states.iter_mut().enumerate() {
             if !fleet.step(n, now_ms) {
                 continue;
@@ -332,14 +333,8 @@
 
 #[test]
 fn all_boxes_restart_in_series_and_forget_what_they_heard() {
-    let restarts = (0..24).map(|n| {
-        (
-            16_000 + 20 * n as u64,
-            n,
-            Trouble::Restart { after_ms: 100 },
-        )
-    });
-    let events: Vec<Event> = restarts.collect();
+    let restarts = (0..24).map(|n| (16_000 + 20 * n as u64, n, Fault::Restart { after_ms: 100 }));
+    let events: Vec<FaultEvent> = restarts.collect();
     let arrivals = simulate(
         24,
         4,
@@ -357,9 +352,9 @@
     #![proptest_config(ProptestConfig { cases: 16, failure_persistence: None, rng_seed: prop::test_runner::RngSeed::Fixed(39), ..ProptestConfig::default() })]
     #[test]
     fn no_trouble_makes_boxes_that_are_well_exceed_a_limit(
-        boxes in 6_usize..40, halls in 1_usize..6, per_s in 0.2_f64..20.0, events in troubles()
+        boxes in 6_usize..40, halls in 1_usize..6, per_s in 0.2_f64..20.0, events in fault_events()
     ) {
-        let events: Vec<Event> = events.into_iter().map(|(at_ms, n, trouble)| (at_ms, n % boxes, trouble)).collect();
+        let events: Vec<FaultEvent> = events.into_iter().map(|(at_ms, n, trouble)| (at_ms, n % boxes, trouble)).collect();
         let arrivals = simulate(boxes, halls, LimitSchedule::Steady(per_s), &events, 60_000, sender_by_box);
         prop_assert_eq!(LimitPromise::AGREED.check(&arrivals), Ok(()));
     }
